--- /dev/null
+++ b/internal/escrow/stored_test.go
@@ -0,0 +1,28 @@
+package escrow
+
+import (
+	"fmt"
+	"reflect"
+	"testing"
+
+	"chicorytiller.example/chicorytiller/internal/wireform"
+)
+
+// Guards against a renamed field, key or value that routers and operators' tools of
+// another version don't find in the store's records.
+func TestRecordsKeepTheirStoredForm(t *testing.T) {
+	wireform.Compare(t, "stored.golden", []string{
+		fmt.Sprintf("format %d", recordFormat),
+		"keys " + AccountKeys + " " + ledgerKeys + " " + contactKeys,
+		"record " + wireform.JSON(reflect.TypeFor[Record]()),
+		"ledger " + wireform.JSON(reflect.TypeFor[Ledger]()),
+		"statement " + wireform.JSON(reflect.TypeFor[Statement]()),
+		"state in contact: " + string(HolderInContact),
+		"state replaced: " + string(HolderReplaced),
+		"state silent: " + string(HolderSilent),
+		"judged by steady clock: " + string(BySteadyClock),
+		"judged by contact lease: " + string(ByContactLease),
+		"judged by time of day: " + string(ByTimeOfDay),
+		"judged by grant: " + string(ByGrant),
+	})
+}
