--- a/internal/escrow/draw.go
+++ b/internal/escrow/draw.go
@@ -27,12 +27,12 @@
 }
 
 // plan works out the write that is due now, if any.
-func (k *Keeper) plan(refresh bool) (draw, bool) {
-	budgets := k.o.Budgets()
-	now := k.o.Clock()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.stopped || len(budgets) == 0 {
+func (m *GrantManager) plan(refresh bool) (draw, bool) {
+	budgets := m.o.Budgets()
+	now := m.o.Clock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.stopped || len(budgets) == 0 {
 		return draw{}, false
 	}
 	accounts := make([]string, 0, len(budgets))
@@ -40,41 +40,41 @@
 		accounts = append(accounts, account)
 	}
 	sort.Strings(accounts)
-	lastContact := k.lastContact
-	if !k.away {
+	lastContact := m.lastContact
+	if !m.away {
 		lastContact = now
 	}
-	d := draw{ledger: Ledger{Format: ledgerFormat, Incarnation: k.o.Incarnation, Address: k.o.Address, Contact: lastContact,
+	d := draw{ledger: Ledger{Format: ledgerFormat, Incarnation: m.o.Incarnation, Address: m.o.Address, Contact: lastContact,
 		Allowances: make(map[string]Allowance, len(accounts))}}
-	holds := k.holds(budgets)
-	k.idle = !holds
-	due := refresh && (k.away || holds)
+	holds := m.holds(budgets)
+	m.idle = !holds
+	due := refresh && (m.away || holds)
 	topUp := refillBelow
 	if refresh {
 		topUp = topUpBelow
 	}
 	for _, account := range accounts {
-		p := k.grant(account)
+		p := m.grant(account)
 		p.updateRate(now.Steady)
-		as := k.role(p)
+		as := m.role(p)
 		granted, wanted := p.plan(budgets[account], as, topUp)
 		// An unanswered write must be followed by another of the same record: that
 		// moves the revision, after which the first one can't land any more.
 		// What a predecessor on this VM left is freed at once, whoever is home now.
-		wanted = wanted || p.record.Left(k.o.VM, k.o.Incarnation)
-		wanted = wanted || refresh && !k.away && p.isUntold(p.record.Figure(k.o.VM, k.o.Incarnation), budgets[account])
+		wanted = wanted || p.record.Left(m.o.VM, m.o.Incarnation)
+		wanted = wanted || refresh && !m.away && p.isUntold(p.record.Figure(m.o.VM, m.o.Incarnation), budgets[account])
 		if (wanted || p.pendingAt != noWrite) && p.decided && len(d.grants) < txnAccounts {
-			k.add(&d, p, granted)
+			m.add(&d, p, granted)
 			due = true
 		} else {
 			granted = p.granted
 		}
-		ceiling, short := p.raised(granted, budgets[account], as, k.roundTrip)
+		ceiling, short := p.raised(granted, budgets[account], as, m.roundTrip)
 		next := Allowance{Ceiling: ceiling, OutageRate: p.newOutageRate(budgets[account])}
 		if as == home {
 			next.Reserve = int64(reserveShare * float64(p.left(budgets[account])))
 		}
-		if k.away {
+		if m.away {
 			// What waits or is refused in an outage lowers the rate, and with it what
 			// may be spent; nothing is gained by stating less.
 			next = Allowance{max(next.Ceiling, p.allowed.Ceiling), max(next.OutageRate, p.allowed.OutageRate), p.allowed.Reserve}
@@ -85,13 +85,13 @@
 	if !due {
 		return draw{}, false
 	}
-	k.lastContact = lastContact
-	k.lower(d.ledger)
-	key := k.o.Prefix + ledgerKeys + k.o.VM
-	d.txn.Expect = append(d.txn.Expect, store.Expect{Key: key, Revision: store.Revision(k.ledgerRevision)})
+	m.lastContact = lastContact
+	m.lower(d.ledger)
+	key := m.o.Prefix + ledgerKeys + m.o.VM
+	d.txn.Expect = append(d.txn.Expect, store.Expect{Key: key, Revision: store.Revision(m.ledgerRevision)})
 	d.txn.Puts = append(d.txn.Puts, store.Put{Key: key, Value: d.ledger.Encode()})
-	if k.contactLease != 0 && !k.contactPut {
-		contact := store.Put{Key: k.o.Prefix + contactKeys + k.o.VM, Value: []byte(k.o.Incarnation), Lease: k.contactLease}
+	if m.contactLease != 0 && !m.contactPut {
+		contact := store.Put{Key: m.o.Prefix + contactKeys + m.o.VM, Value: []byte(m.o.Incarnation), Lease: m.contactLease}
 		d.txn.Puts = append(d.txn.Puts, contact)
 		d.contact = true
 	}
@@ -101,9 +101,9 @@
 // lower holds this router to the allowances of a ledger that is about to be written, where
 // they are lower than the present ones. The ledger may land whatever becomes of its
 // answer; higher allowances count only once they are stored.
-func (k *Keeper) lower(ledger Ledger) {
+func (m *GrantManager) lower(ledger Ledger) {
 	for account, next := range ledger.Allowances {
-		p := k.grant(account)
+		p := m.grant(account)
 		p.allowed = p.allowed.least(next)
 	}
 }
@@ -116,10 +116,10 @@
 // holds says whether this router was granted anything that it has not used, or holds for
 // others. One that only borrows, or has used up what it once drew, needs no ledger: its
 // successor has nothing to free.
-func (k *Keeper) holds(budgets map[string]int64) bool {
-	for account, p := range k.grants {
+func (m *GrantManager) holds(budgets map[string]int64) bool {
+	for account, p := range m.grants {
 		unused := float64(p.granted - p.used())
-		if k.role(p) != borrower || p.pendingAt != noWrite || p.granted > 0 && unused > worthFreeing*float64(budgets[account]) {
+		if m.role(p) != borrower || p.pendingAt != noWrite || p.granted > 0 && unused > worthFreeing*float64(budgets[account]) {
 			return true
 		}
 	}
@@ -128,16 +128,16 @@
 
 // add puts one account's new figure into a transaction. A smaller grant counts
 // from now on, before it is stored; a larger one only once it is stored.
-func (k *Keeper) add(d *draw, p *grant, granted int64) {
+func (m *GrantManager) add(d *draw, p *grant, granted int64) {
 	p.seq++
 	figure := Figure{Seq: p.seq, Granted: granted, Spent: p.netSpent()}
-	next := p.record.With(k.o.VM, k.o.Incarnation, figure, k.mostSpent(d, p))
+	next := p.record.With(m.o.VM, m.o.Incarnation, figure, m.mostSpent(d, p))
 	p.granted = min(p.granted, granted)
 	d.pendingAt = append(d.pendingAt, p.pendingAt)
 	p.pendingAt = p.revision
 	d.grants = append(d.grants, p)
 	d.figures = append(d.figures, figure)
-	d.put(k.accountKey(p), p.revision, next)
+	d.put(m.accountKey(p), p.revision, next)
 }
 
 // put adds the write of a record under the condition that it is at a revision.
@@ -147,8 +147,8 @@
 	d.txn.Puts = append(d.txn.Puts, store.Put{Key: key, Value: next.Encode()})
 }
 
-func (k *Keeper) accountKey(p *grant) string {
-	return k.o.Prefix + AccountKeys + p.account
+func (m *GrantManager) accountKey(p *grant) string {
+	return m.o.Prefix + AccountKeys + p.account
 }
 
 // end is how one account's grant of a dead incarnation was closed.
@@ -160,18 +160,18 @@
 
 // mostSpent judges this VM's dead incarnations by the ledger that the last left, and notes
 // in the draw what came of it.
-func (k *Keeper) mostSpent(d *draw, p *grant) MostSpent {
+func (m *GrantManager) mostSpent(d *draw, p *grant) MostSpent {
 	return func(incarnation string, figure Figure) int64 {
-		judged := k.predecessor.Judge(p.account, incarnation, k.o.Address, figure.Granted, k.born, k.leasedIncarnation == incarnation)
+		judged := m.predecessor.Judge(p.account, incarnation, m.o.Address, figure.Granted, m.born, m.leasedIncarnation == incarnation)
 		d.ends = append(d.ends, end{p.account, incarnation, figure, judged})
 		return judged.Most
 	}
 }
 
 // logEnds tells what became of the grants of dead incarnations, once that is stored.
-func (k *Keeper) logEnds(d draw) {
+func (m *GrantManager) logEnds(d draw) {
 	for _, e := range d.ends {
-		k.o.Log.Emit(event.GrantClosed, slog.String(event.KeyBudget, e.account), slog.String("holder", e.incarnation),
+		m.o.Log.Emit(event.GrantClosed, slog.String(event.KeyBudget, e.account), slog.String("holder", e.incarnation),
 			slog.Int64("granted", e.figure.Granted), slog.Int64("spent", e.figure.Spent), slog.Int64("judged", e.judged.Most),
 			slog.Int64("ceiling", e.judged.Ceiling), slog.Int64("age_ms", e.judged.Age.Milliseconds()),
 			slog.String("by", string(e.judged.By)))
@@ -179,37 +179,37 @@
 }
 
 // commit runs the transaction and says whether it landed.
-func (k *Keeper) commit(ctx context.Context, d draw) bool {
+func (m *GrantManager) commit(ctx context.Context, d draw) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	sent := k.o.Clock().Steady
-	result, err := k.o.Store.Commit(ctx, d.txn)
-	k.contact(err)
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	sent := m.o.Clock().Steady
+	result, err := m.o.Store.Commit(ctx, d.txn)
+	m.contact(err)
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if err == nil || errors.Is(err, store.ErrConflict) {
-		k.noteRoundTrip(k.o.Clock().Steady - sent)
+		m.noteRoundTrip(m.o.Clock().Steady - sent)
 	}
 	switch {
 	case err == nil:
-		k.landed(d, result)
+		m.landed(d, result)
 	case errors.Is(err, store.ErrConflict):
-		k.conflicted(d, result)
+		m.conflicted(d, result)
 	case errors.Is(err, store.ErrUnavailable), errors.Is(err, store.ErrLeaseGone):
 		// Nothing was done: the records are still as known.
 		if errors.Is(err, store.ErrLeaseGone) {
-			k.contactLease, k.contactPut = 0, false
+			m.contactLease, m.contactPut = 0, false
 		}
 		for i, p := range d.grants {
 			p.pendingAt = d.pendingAt[i]
-			p.learned(p.record, p.revision, p.record.Figure(k.o.VM, k.o.Incarnation))
+			p.learned(p.record, p.revision, p.record.Figure(m.o.VM, m.o.Incarnation))
 		}
 	default:
-		k.ledgerKnown = false
+		m.ledgerKnown = false
 		for _, p := range d.grants {
 			p.decided = false
 		}
-		k.o.Log.Emit(event.DrawUnknown, slog.Int("accounts", len(d.grants)), slog.Any(event.KeyCause, err))
+		m.o.Log.Emit(event.DrawUnknown, slog.Int("accounts", len(d.grants)), slog.Any(event.KeyCause, err))
 	}
 	return err == nil
 }
@@ -218,62 +218,62 @@
 // seconds: ceilings are then higher by what is used during a write, and reservations wait
 // for it. A call that ran out tells nothing of that: counted, it held ceilings up by a second
 // of use after each outage, and that was lost where all routers died then.
-func (k *Keeper) noteRoundTrip(took time.Duration) {
+func (m *GrantManager) noteRoundTrip(took time.Duration) {
 	const fall = 0.8 // a write's part in what is remembered after it
-	k.roundTrip = max(took, time.Duration(fall*float64(k.roundTrip)))
+	m.roundTrip = max(took, time.Duration(fall*float64(m.roundTrip)))
 }
 
-func (k *Keeper) landed(d draw, result store.Result) {
-	k.ledgerRevision, k.conflicts = int64(result.Revision), 0
-	k.contactPut = k.contactPut || d.contact
-	k.logEnds(d)
+func (m *GrantManager) landed(d draw, result store.Result) {
+	m.ledgerRevision, m.conflicts = int64(result.Revision), 0
+	m.contactPut = m.contactPut || d.contact
+	m.logEnds(d)
 	for account, allowed := range d.ledger.Allowances {
-		k.grant(account).allowed = allowed
+		m.grant(account).allowed = allowed
 	}
 	for i, p := range d.grants {
 		p.learned(d.records[i], int64(result.Revision), d.figures[i])
-		k.o.Log.Emit(event.DrawLanded, slog.String(event.KeyBudget, p.account), slog.Int64("granted", p.granted),
+		m.o.Log.Emit(event.DrawLanded, slog.String(event.KeyBudget, p.account), slog.Int64("granted", p.granted),
 			slog.Int64("spent", p.spent), slog.Int64("reserved", p.reserved), slog.Int64("revision", p.revision))
 	}
 }
 
 // conflicted takes the records as they are and tries again in the next round.
-func (k *Keeper) conflicted(d draw, result store.Result) {
-	k.conflicts++
+func (m *GrantManager) conflicted(d draw, result store.Result) {
+	m.conflicts++
 	current := make(map[string]store.Item, len(result.Current))
 	for _, item := range result.Current {
 		current[item.Key] = item
 	}
-	if item, found := current[k.o.Prefix+ledgerKeys+k.o.VM]; found {
-		k.learnLedger(item)
+	if item, found := current[m.o.Prefix+ledgerKeys+m.o.VM]; found {
+		m.learnLedger(item)
 	}
 	for i, p := range d.grants {
 		p.pendingAt = d.pendingAt[i] // this transaction is answered: it never lands
-		item, found := current[k.accountKey(p)]
+		item, found := current[m.accountKey(p)]
 		switch {
 		case found:
-			k.learn(p, item)
+			m.learn(p, item)
 		case p.revision == 0:
 			p.learned(p.record, 0, Figure{})
 		default:
 			p.decided = false
 		}
 	}
-	k.wakeUp()
+	m.wakeUp()
 }
 
 // contact notes whether the store answered.
-func (k *Keeper) contact(err error) {
+func (m *GrantManager) contact(err error) {
 	reached := err == nil || errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrLeaseGone)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if reached == !k.away {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if reached == !m.away {
 		return
 	}
-	k.away = !reached
+	m.away = !reached
 	if reached {
-		k.o.Log.Emit(event.StoreReachable, slog.String("follows", "budgets"))
+		m.o.Log.Emit(event.StoreReachable, slog.String("follows", "budgets"))
 		return
 	}
-	k.o.Log.Emit(event.StoreUnreachable, slog.String("follows", "budgets"), slog.Any(event.KeyCause, err))
+	m.o.Log.Emit(event.StoreUnreachable, slog.String("follows", "budgets"), slog.Any(event.KeyCause, err))
 }
--- a/internal/escrow/gather.go
+++ b/internal/escrow/gather.go
@@ -40,19 +40,19 @@
 
 // spentAt is what a VM has spent of an account, as far as is known: by its report of late, else by
 // the record. The keeper is locked.
-func (k *Keeper) spentAt(p *grant, vm string) int64 {
-	if report, known := p.reports[vm]; known && k.o.Clock().Steady-report.at < reportFor {
+func (m *GrantManager) spentAt(p *grant, vm string) int64 {
+	if report, known := p.reports[vm]; known && m.o.Clock().Steady-report.at < reportFor {
 		return report.spent
 	}
 	return p.record.SpentBy(vm)
 }
 
 // spentElsewhere is what was surely spent by all but this process. The keeper is locked.
-func (k *Keeper) spentElsewhere(p *grant) int64 {
-	sum := p.record.ClosedSpent + p.record.SpentBy(k.o.VM) - p.record.Figure(k.o.VM, k.o.Incarnation).Spent
+func (m *GrantManager) spentElsewhere(p *grant) int64 {
+	sum := p.record.ClosedSpent + p.record.SpentBy(m.o.VM) - p.record.Figure(m.o.VM, m.o.Incarnation).Spent
 	for vm := range p.record.Holders {
-		if vm != k.o.VM {
-			sum += k.spentAt(p, vm)
+		if vm != m.o.VM {
+			sum += m.spentAt(p, vm)
 		}
 	}
 	return sum
@@ -67,70 +67,70 @@
 
 // gather orders tokens from a router that holds some, or says that this is under way; false:
 // nobody else has any. The keeper is locked.
-func (k *Keeper) gather(h *hold) bool {
+func (m *GrantManager) gather(h *hold) bool {
 	p := h.grant
 	if p.gathering {
 		return true
 	}
-	if p.gathered > 0 && k.o.Clock().Steady-p.gathered < gatherPause {
+	if p.gathered > 0 && m.o.Clock().Steady-p.gathered < gatherPause {
 		return false
 	}
-	vm, address := k.largestElsewhere(p)
+	vm, address := m.largestElsewhere(p)
 	if address == "" {
 		return false
 	}
 	p.gathering = true
 	tokens := max(h.missing, int64(p.rate*gatherAhead.Seconds()))
-	k.gatherings = append(k.gatherings, gathering{grant: p, vm: vm, address: address, tokens: tokens})
+	m.gatherings = append(m.gatherings, gathering{grant: p, vm: vm, address: address, tokens: tokens})
 	select {
-	case k.gatherDue <- struct{}{}:
+	case m.gatherDue <- struct{}{}:
 	default: // one is due already
 	}
 	return true
 }
 
 // gathers carries gatherings out until ctx ends.
-func (k *Keeper) gathers(ctx context.Context) {
+func (m *GrantManager) gathers(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.gatherDue:
-			k.gatherAll(ctx)
+		case <-m.gatherDue:
+			m.gatherAll(ctx)
 		}
 	}
 }
 
 // gatherAll carries out what was ordered, all at once: one router that doesn't answer must
 // not hold up the others.
-func (k *Keeper) gatherAll(ctx context.Context) {
+func (m *GrantManager) gatherAll(ctx context.Context) {
 	var calls conc.WaitGroup
-	for _, g := range k.takeGatherings() {
-		calls.Go(func() { k.gatherOne(ctx, g) })
+	for _, g := range m.takeGatherings() {
+		calls.Go(func() { m.gatherOne(ctx, g) })
 	}
 	calls.Wait()
 }
 
-func (k *Keeper) takeGatherings() []gathering {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	due := k.gatherings
-	k.gatherings = nil
+func (m *GrantManager) takeGatherings() []gathering {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	due := m.gatherings
+	m.gatherings = nil
 	return due
 }
 
 // largestElsewhere is the VM, with its address, that has the most tokens left beside this one, as far as
 // is known; the address is empty if there is none that can be asked.
-func (k *Keeper) largestElsewhere(p *grant) (vm, address string) {
-	most, now := int64(0), k.o.Clock().Steady
+func (m *GrantManager) largestElsewhere(p *grant) (vm, address string) {
+	most, now := int64(0), m.o.Clock().Steady
 	for name := range p.record.Holders {
-		at, unreached := k.unreached[name]
-		if name == k.o.VM || k.addresses[name] == "" || unreached && now-at < unreachedFor {
+		at, unreached := m.unreached[name]
+		if name == m.o.VM || m.addresses[name] == "" || unreached && now-at < unreachedFor {
 			continue
 		}
-		left := p.record.GrantedTo(name) - k.spentAt(p, name)
+		left := p.record.GrantedTo(name) - m.spentAt(p, name)
 		if left > most {
-			most, vm, address = left, name, k.addresses[name]
+			most, vm, address = left, name, m.addresses[name]
 		}
 	}
 	return vm, address
@@ -138,17 +138,17 @@
 
 // gatherOne asks one router and ends the gathering. What it lends is what none of its own
 // requests waits for.
-func (k *Keeper) gatherOne(ctx context.Context, g gathering) {
+func (m *GrantManager) gatherOne(ctx context.Context, g gathering) {
 	ctx, cancel := context.WithTimeout(ctx, gatherTime)
 	defer cancel()
 	p := g.grant
-	loan := k.o.Peers.BorrowFrom(ctx, g.address, p.account, g.tokens, noWaiter)
-	k.mu.Lock()
+	loan := m.o.Peers.BorrowFrom(ctx, g.address, p.account, g.tokens, noWaiter)
+	m.mu.Lock()
 	p.borrowed += loan.Tokens
 	p.gathering = false
-	now := k.o.Clock().Steady
+	now := m.o.Clock().Steady
 	if loan.Short == NotReached {
-		k.unreached[g.vm] = now
+		m.unreached[g.vm] = now
 	} else {
 		p.reports[g.vm] = useReport{spent: loan.Spent, at: now}
 		if loan.Tokens < g.tokens {
@@ -156,12 +156,12 @@
 		}
 	}
 	if loan.Tokens > 0 || p.gatherLog.due(now) {
-		k.o.Log.Emit(event.TokensGathered, slog.String(event.KeyBudget, p.account), slog.String(event.KeyRouter, g.vm),
+		m.o.Log.Emit(event.TokensGathered, slog.String(event.KeyBudget, p.account), slog.String(event.KeyRouter, g.vm),
 			slog.Int64("wanted", g.tokens), slog.Int64(event.KeyTokens, loan.Tokens), slog.Int64("spent", loan.Spent),
 			slog.Int("unlogged", p.gatherLog.take()))
 	}
-	k.mu.Unlock()
-	k.broadcast()
+	m.mu.Unlock()
+	m.broadcast()
 }
 
 // noWaiter names no request: what nobody waits for is lent, and nothing is drawn for it.
--- a/internal/escrow/holders.go
+++ b/internal/escrow/holders.go
@@ -94,18 +94,18 @@
 }
 
 // roleOf is this router's role for an account.
-func (k *Keeper) roleOf(account string) role {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.role(k.grant(account))
+func (m *GrantManager) roleOf(account string) role {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.role(m.grant(account))
 }
 
 // role is the same; the keeper is locked.
-func (k *Keeper) role(p *grant) role {
+func (m *GrantManager) role(p *grant) role {
 	switch {
-	case k.o.Home(p.account) == "":
+	case m.o.Home(p.account) == "":
 		return home
-	case p.askedAt > 0 && k.o.Clock().Steady-p.askedAt < standbyFor:
+	case p.askedAt > 0 && m.o.Clock().Steady-p.askedAt < standbyFor:
 		return standby
 	}
 	return borrower
@@ -120,30 +120,30 @@
 
 // borrowFromHolders gets what is missing from the account's holders, in their order, up to
 // the first that can draw. It says what that one lacked; inContact is false if none can.
-func (k *Keeper) borrowFromHolders(ctx context.Context, h *hold) (short Shortage, inContact bool) {
-	ranked, awayHome := k.holdersToAsk(h.grant.account)
+func (m *GrantManager) borrowFromHolders(ctx context.Context, h *hold) (short Shortage, inContact bool) {
+	ranked, awayHome := m.holdersToAsk(h.grant.account)
 	for _, address := range ranked {
-		short = k.borrowFrom(ctx, h, address)
+		short = m.borrowFrom(ctx, h, address)
 		for tries := 1; short == Drawing && tries < drawingMost && ctx.Err() == nil; tries++ {
-			short = k.borrowFrom(ctx, h, address)
+			short = m.borrowFrom(ctx, h, address)
 		}
 		if inContact = short.inContact(); inContact || h.missing == 0 {
 			break
 		}
 	}
 	if h.missing > 0 && awayHome != "" {
-		k.borrowFrom(ctx, h, awayHome)
+		m.borrowFrom(ctx, h, awayHome)
 	}
 	return short, inContact
 }
 
 // borrowFrom asks one holder.
-func (k *Keeper) borrowFrom(ctx context.Context, h *hold, address string) Shortage {
-	loan := k.o.Peers.BorrowFrom(ctx, address, h.grant.account, h.missing, h.waiterID)
+func (m *GrantManager) borrowFrom(ctx context.Context, h *hold, address string) Shortage {
+	loan := m.o.Peers.BorrowFrom(ctx, address, h.grant.account, h.missing, h.waiterID)
 	h.got(loan.Tokens)
 	// A request whose time is over tells nothing of whom it asked.
 	if ctx.Err() == nil && (loan.Short == NotReached || loan.Short == StoreAway) {
-		k.noteAway(address)
+		m.noteAway(address)
 	}
 	return loan.Short
 }
@@ -152,13 +152,13 @@
 // rank before it, and all others too while it can't draw itself. One that lately had no
 // contact with the store is left out, but for the home, which still holds a grant: it is
 // asked after the others.
-func (k *Keeper) holdersToAsk(account string) (ranked []string, awayHome string) {
-	for i, address := range k.o.Holders(account) {
+func (m *GrantManager) holdersToAsk(account string) (ranked []string, awayHome string) {
+	for i, address := range m.o.Holders(account) {
 		switch {
-		case address == "" && !k.isAway():
+		case address == "" && !m.isAway():
 			return ranked, awayHome
 		case address == "":
-		case !k.wasAway(address):
+		case !m.wasAway(address):
 			ranked = append(ranked, address)
 		case i == 0:
 			awayHome = address
@@ -167,17 +167,17 @@
 	return ranked, awayHome
 }
 
-func (k *Keeper) wasAway(address string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	at, found := k.holdersAway[address]
-	return found && k.o.Clock().Steady-at < awayFor
+func (m *GrantManager) wasAway(address string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	at, found := m.holdersAway[address]
+	return found && m.o.Clock().Steady-at < awayFor
 }
 
-func (k *Keeper) noteAway(address string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.holdersAway[address] = k.o.Clock().Steady
+func (m *GrantManager) noteAway(address string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.holdersAway[address] = m.o.Clock().Steady
 }
 
 // lastResort is the mean time between two draws of a router that ranks nowhere, when none of
@@ -187,12 +187,12 @@
 
 // mayDraw says whether this router may draw for a request: as one of the account's holders,
 // or once in a while as a last resort.
-func (k *Keeper) mayDraw(p *grant) bool {
-	ranks := slices.Contains(k.o.Holders(p.account), "")
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.o.Clock().Steady
-	if k.away {
+func (m *GrantManager) mayDraw(p *grant) bool {
+	ranks := slices.Contains(m.o.Holders(p.account), "")
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.o.Clock().Steady
+	if m.away {
 		return false
 	}
 	if ranks {
@@ -213,12 +213,12 @@
 
 // shortage says why the record can't give what is missing, as far as that is known here. The
 // keeper is locked.
-func (k *Keeper) shortage(h *hold) error {
+func (m *GrantManager) shortage(h *hold) error {
 	p := h.grant
-	prepaid := k.o.Budgets()[p.account]
+	prepaid := m.o.Budgets()[p.account]
 	// What others drew themselves counts as far as they or the record tell.
-	used := p.used() - (h.tokens - h.missing) + k.spentElsewhere(p)
-	left := prepaid - used + p.lately.sum(k.o.Clock().Steady)
+	used := p.used() - (h.tokens - h.missing) + m.spentElsewhere(p)
+	left := prepaid - used + p.lately.sum(m.o.Clock().Steady)
 	doubtful := p.record.Closed - p.record.ClosedSpent
 	why := ErrContended
 	switch {
@@ -227,17 +227,17 @@
 	case left-doubtful < h.tokens:
 		why = ErrInDoubt
 	}
-	k.logShortage(p, prepaid, used, left, why)
+	m.logShortage(p, prepaid, used, left, why)
 	return why
 }
 
 // logShortage tells of a budget that can't give what is asked for, once a second. The keeper
 // is locked.
-func (k *Keeper) logShortage(p *grant, prepaid, used, left int64, why error) {
-	if !p.lackLog.due(k.o.Clock().Steady) {
+func (m *GrantManager) logShortage(p *grant, prepaid, used, left int64, why error) {
+	if !p.lackLog.due(m.o.Clock().Steady) {
 		return
 	}
-	k.o.Log.Emit(event.BudgetShort, slog.String(event.KeyBudget, p.account), slog.Int64("prepaid", prepaid),
+	m.o.Log.Emit(event.BudgetShort, slog.String(event.KeyBudget, p.account), slog.Int64("prepaid", prepaid),
 		slog.Int64("given", p.record.Given()), slog.Int64("closed", p.record.Closed),
 		slog.Int64("closed_spent", p.record.ClosedSpent), slog.Int64("used", used), slog.Int64("left", left),
 		slog.Int64("revision", p.revision), slog.Any(event.KeyCause, why), slog.Int("unlogged", p.lackLog.take()))
@@ -274,19 +274,19 @@
 
 // borrow gets what is missing from any other routers, where no holder has contact with the
 // store.
-func (k *Keeper) borrow(ctx context.Context, h *hold) error {
-	if !k.mayAsk(h.grant) {
+func (m *GrantManager) borrow(ctx context.Context, h *hold) error {
+	if !m.mayAsk(h.grant) {
 		return ErrUnreachable
 	}
 	missing := h.missing
-	got, used := k.o.Peers.Borrow(ctx, h.grant.account, missing)
+	got, used := m.o.Peers.Borrow(ctx, h.grant.account, missing)
 	h.got(got)
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	record := h.grant.record
-	prepaid := k.o.Budgets()[h.grant.account]
-	if got > 0 || h.grant.lackLog.due(k.o.Clock().Steady) {
-		k.o.Log.Emit(event.TokensBorrowed, slog.String(event.KeyBudget, h.grant.account), slog.Int64("missing", missing),
+	prepaid := m.o.Budgets()[h.grant.account]
+	if got > 0 || h.grant.lackLog.due(m.o.Clock().Steady) {
+		m.o.Log.Emit(event.TokensBorrowed, slog.String(event.KeyBudget, h.grant.account), slog.Int64("missing", missing),
 			slog.Int64(event.KeyTokens, got), slog.Int64("prepaid", prepaid), slog.Int64("given", record.Given()),
 			slog.Int64("closed", record.Closed), slog.Int64("used", used), slog.Any(event.KeyCause, ErrUnreachable),
 			slog.Int("unlogged", h.grant.lackLog.take()))
@@ -295,7 +295,7 @@
 		return nil
 	}
 	if got == 0 {
-		h.grant.fruitless = k.o.Clock().Steady
+		h.grant.fruitless = m.o.Clock().Steady
 	}
 	// All that is surely used, with reservations at their most. What nobody could
 	// tell of may still come back, so that is no reason to say exhausted.
@@ -307,8 +307,8 @@
 }
 
 // mayAsk says whether other routers may have something.
-func (k *Keeper) mayAsk(p *grant) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return p.fruitless == 0 || k.o.Clock().Steady-p.fruitless >= fruitlessFor
+func (m *GrantManager) mayAsk(p *grant) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return p.fruitless == 0 || m.o.Clock().Steady-p.fruitless >= fruitlessFor
 }
--- a/internal/escrow/holders_test.go
+++ b/internal/escrow/holders_test.go
@@ -49,7 +49,7 @@
 
 // members is a fleet of keepers on one store that reach each other, in virtual time.
 type members struct {
-	keepers map[string]*Keeper
+	keepers map[string]*GrantManager
 	stores  map[string]*gatedStore
 	asks    atomic.Int64 // calls of routers to others that are no holders
 	// unlisted are those that the others don't know any more.
@@ -62,7 +62,7 @@
 // fleetOf starts so many keepers, r0 to rN, of which the first six hold the account. The
 // store refuses the first refused of them.
 func fleetOf(ctx context.Context, tasks *conc.WaitGroup, size, refused int, paid int64) *members {
-	m := &members{keepers: make(map[string]*Keeper), stores: make(map[string]*gatedStore)}
+	m := &members{keepers: make(map[string]*GrantManager), stores: make(map[string]*gatedStore)}
 	began := time.Now()
 	shared := memstore.New(time.Now)
 	for i := range size {
@@ -169,7 +169,7 @@
 	return o
 }
 
-func (o *outcome) request(ctx context.Context, k *Keeper) {
+func (o *outcome) request(ctx context.Context, k *GrantManager) {
 	began := time.Now()
 	reservation, err := k.Reserve(ctx, "boatyard", 1000)
 	took := time.Since(began)
--- a/internal/escrow/keeper.go
+++ b/internal/escrow/keeper.go
@@ -72,9 +72,9 @@
 	contactKeys = "contact/" // the incarnation, under its contact lease
 )
 
-// Keeper holds this router's grants. Reservations come from any goroutine; one
+// GrantManager holds this router's grants. Reservations come from any goroutine; one
 // goroutine (Run) speaks with the store.
-type Keeper struct {
+type GrantManager struct {
 	o Options
 
 	mu      sync.Mutex
@@ -123,8 +123,8 @@
 }
 
 // New makes a keeper without grants. Run fetches the first ones.
-func New(o Options) *Keeper {
-	return &Keeper{
+func New(o Options) *GrantManager {
+	return &GrantManager{
 		o: o, born: o.Clock(), grants: make(map[string]*grant), holdersAway: make(map[string]time.Duration),
 		addresses: make(map[string]string), unreached: make(map[string]time.Duration),
 		gatherDue: make(chan struct{}, 1), changed: make(chan struct{}), wake: make(chan struct{}, 1),
@@ -132,16 +132,16 @@
 }
 
 // age is how old the last contact is; zero in contact, where the ceilings hold.
-func (k *Keeper) age() time.Duration {
-	if !k.away {
+func (m *GrantManager) age() time.Duration {
+	if !m.away {
 		return 0
 	}
-	return k.o.Clock().Steady - k.lastContact.Steady
+	return m.o.Clock().Steady - m.lastContact.Steady
 }
 
 // Reservation sets tokens aside for one request.
 type Reservation struct {
-	keeper *Keeper
+	keeper *GrantManager
 	grant  *grant
 	tokens int64
 	once   sync.Once
@@ -161,18 +161,18 @@
 	})
 }
 
-func (k *Keeper) grant(account string) *grant {
-	p := k.grants[account]
+func (m *GrantManager) grant(account string) *grant {
+	p := m.grants[account]
 	if p == nil {
 		p = newGrant(account)
-		k.grants[account] = p
+		m.grants[account] = p
 	}
 	return p
 }
 
-func (k *Keeper) wakeUp() {
+func (m *GrantManager) wakeUp() {
 	select {
-	case k.wake <- struct{}{}:
+	case m.wake <- struct{}{}:
 	default:
 	}
 }
@@ -206,11 +206,11 @@
 )
 
 // Run talks with the store until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (m *GrantManager) Run(ctx context.Context) {
 	var tasks conc.WaitGroup
 	defer tasks.Wait()
-	tasks.Go(func() { k.gathers(ctx) })
-	tasks.Go(func() { k.sweeps(ctx) }) // a home that doesn't answer must not hold up the ledger
+	tasks.Go(func() { m.gathers(ctx) })
+	tasks.Go(func() { m.sweeps(ctx) }) // a home that doesn't answer must not hold up the ledger
 	ticker := time.NewTicker(ledgerEvery)
 	defer ticker.Stop()
 	for {
@@ -218,98 +218,98 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			k.round(ctx, true)
-		case <-k.wake:
-			k.round(ctx, k.isAway())
+			m.round(ctx, true)
+		case <-m.wake:
+			m.round(ctx, m.isAway())
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(k.pause()):
+		case <-time.After(m.pause()):
 		}
 	}
 }
 
-func (k *Keeper) isAway() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.away
+func (m *GrantManager) isAway() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.away
 }
 
 // pause is the wait until the next round may begin. While the store is away the
 // next round is due by itself, so that its return is noticed soon.
-func (k *Keeper) pause() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.away {
-		k.tries = 0
-		return roundPause + k.conflictPause()
+func (m *GrantManager) pause() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.away {
+		m.tries = 0
+		return roundPause + m.conflictPause()
 	}
-	k.wakeUp()
-	k.tries++
-	if k.idle && k.tries > 1 {
+	m.wakeUp()
+	m.tries++
+	if m.idle && m.tries > 1 {
 		return idlePause
 	}
-	return min(awayPause<<min(k.tries-1, 4), awayMost)
+	return min(awayPause<<min(m.tries-1, 4), awayMost)
 }
 
 // conflictPause is the random part of a pause after lost races for a record; zero without.
-func (k *Keeper) conflictPause() time.Duration {
-	if k.conflicts == 0 {
+func (m *GrantManager) conflictPause() time.Duration {
+	if m.conflicts == 0 {
 		return 0
 	}
-	return rand.N(raceLost << min(k.conflicts, racesMost))
+	return rand.N(raceLost << min(m.conflicts, racesMost))
 }
 
 // round brings records, grants and reservations in line once. refresh says that the
 // ledger is to be written in any case.
-func (k *Keeper) round(ctx context.Context, refresh bool) {
-	defer k.broadcast()
-	if (k.mustRead() || k.scarce()) && !k.read(ctx) {
+func (m *GrantManager) round(ctx context.Context, refresh bool) {
+	defer m.broadcast()
+	if (m.mustRead() || m.scarce()) && !m.read(ctx) {
 		return
 	}
-	if d, due := k.plan(refresh); due && k.commit(ctx, d) {
-		k.keepContact(ctx)
+	if d, due := m.plan(refresh); due && m.commit(ctx, d) {
+		m.keepContact(ctx)
 	}
 }
 
 // keepContact renews the contact lease, or gets one, right after a write landed.
-func (k *Keeper) keepContact(ctx context.Context) {
+func (m *GrantManager) keepContact(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if k.contactLease != 0 {
-		err := k.o.Store.Renew(ctx, k.contactLease)
+	if m.contactLease != 0 {
+		err := m.o.Store.Renew(ctx, m.contactLease)
 		if !errors.Is(err, store.ErrLeaseGone) {
 			return // another failure is met by the next write
 		}
-		k.contactLease, k.contactPut = 0, false
+		m.contactLease, m.contactPut = 0, false
 	}
-	lease, err := k.o.Store.Grant(ctx, contactLease)
+	lease, err := m.o.Store.Grant(ctx, contactLease)
 	if err != nil {
-		k.o.Log.Emit(event.LeaseLost, slog.String("lease_of", "contact"), slog.Any(event.KeyCause, err))
+		m.o.Log.Emit(event.LeaseLost, slog.String("lease_of", "contact"), slog.Any(event.KeyCause, err))
 		return
 	}
-	k.contactLease = lease
+	m.contactLease = lease
 }
 
-func (k *Keeper) broadcast() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	close(k.changed)
-	k.changed = make(chan struct{})
+func (m *GrantManager) broadcast() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	close(m.changed)
+	m.changed = make(chan struct{})
 }
 
 // mustRead says whether a record is not known as it is: never read, or a write
 // of it was not answered.
-func (k *Keeper) mustRead() bool {
-	budgets := k.o.Budgets()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.ledgerKnown {
+func (m *GrantManager) mustRead() bool {
+	budgets := m.o.Budgets()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.ledgerKnown {
 		return true
 	}
 	for account := range budgets {
-		if !k.grant(account).decided {
+		if !m.grant(account).decided {
 			return true
 		}
 	}
@@ -320,17 +320,17 @@
 // seen. Others may have returned or freed tokens since, which nothing but another
 // read shows: without it a home that found all granted elsewhere at its start
 // never draws again.
-func (k *Keeper) scarce() bool {
-	budgets := k.o.Budgets()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.o.Clock().Steady-k.readAt < readEvery {
+func (m *GrantManager) scarce() bool {
+	budgets := m.o.Budgets()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.o.Clock().Steady-m.readAt < readEvery {
 		return false
 	}
 	for account, prepaid := range budgets {
-		p := k.grant(account)
+		p := m.grant(account)
 		left := p.granted - p.used()
-		wanted := max(p.waiting, int64(refillBelow*float64(p.ahead(Horizon, int64(firstShare*float64(prepaid)), k.role(p)))))
+		wanted := max(p.waiting, int64(refillBelow*float64(p.ahead(Horizon, int64(firstShare*float64(prepaid)), m.role(p)))))
 		// A router that wants nothing is never short, also where it has used a little more
 		// than it got: all of a fleet read all records each 1.5 s for that.
 		if wanted > 0 && left < wanted && p.free(prepaid) < wanted-left {
@@ -340,38 +340,38 @@
 	return false
 }
 
-func (k *Keeper) read(ctx context.Context) bool {
+func (m *GrantManager) read(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	budgets := k.o.Budgets()
-	snapshot, err := k.o.Store.Read(ctx, k.o.Prefix)
-	k.contact(err)
+	budgets := m.o.Budgets()
+	snapshot, err := m.o.Store.Read(ctx, m.o.Prefix)
+	m.contact(err)
 	if err != nil {
 		return false
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.readAt = k.o.Clock().Steady
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.readAt = m.o.Clock().Steady
 	found := make(map[string]bool, len(snapshot.Items))
-	k.ledgerKnown, k.ledgerRevision = true, 0
+	m.ledgerKnown, m.ledgerRevision = true, 0
 	for _, item := range snapshot.Items {
-		key := strings.TrimPrefix(item.Key, k.o.Prefix)
+		key := strings.TrimPrefix(item.Key, m.o.Prefix)
 		if account, isRecord := strings.CutPrefix(key, AccountKeys); isRecord {
 			found[account] = true
-			k.learn(k.grant(account), item)
+			m.learn(m.grant(account), item)
 		}
 		if vm, isLedger := strings.CutPrefix(key, ledgerKeys); isLedger {
-			k.addresses[vm] = ledgerAddress(item.Value)
+			m.addresses[vm] = ledgerAddress(item.Value)
 		}
-		if key == ledgerKeys+k.o.VM {
-			k.learnLedger(item)
+		if key == ledgerKeys+m.o.VM {
+			m.learnLedger(item)
 		}
-		if key == contactKeys+k.o.VM {
-			k.leasedIncarnation = string(item.Value)
+		if key == contactKeys+m.o.VM {
+			m.leasedIncarnation = string(item.Value)
 		}
 	}
 	for account := range budgets {
-		if p := k.grant(account); !found[account] && !p.decided {
+		if p := m.grant(account); !found[account] && !p.decided {
 			p.learned(newRecord(), 0, Figure{})
 		}
 	}
@@ -379,28 +379,28 @@
 }
 
 // learn takes a record as the store has it.
-func (k *Keeper) learn(p *grant, item store.Item) {
+func (m *GrantManager) learn(p *grant, item store.Item) {
 	if int64(item.Revision) < p.revision {
 		return
 	}
 	record, err := DecodeRecord(item.Value)
 	if err != nil {
-		k.o.Log.Emit(event.InvariantBroken, slog.String(event.KeyBudget, p.account), slog.Any(event.KeyCause, err))
+		m.o.Log.Emit(event.InvariantBroken, slog.String(event.KeyBudget, p.account), slog.Any(event.KeyCause, err))
 		return
 	}
-	p.learned(record, int64(item.Revision), record.Figure(k.o.VM, k.o.Incarnation))
+	p.learned(record, int64(item.Revision), record.Figure(m.o.VM, m.o.Incarnation))
 }
 
 // learnLedger takes this VM's ledger as the store has it. Ceilings of this process's own
 // are not taken from it: an unanswered write may still land and lower them.
-func (k *Keeper) learnLedger(item store.Item) {
-	k.ledgerRevision = int64(item.Revision)
+func (m *GrantManager) learnLedger(item store.Item) {
+	m.ledgerRevision = int64(item.Revision)
 	ledger, err := DecodeLedger(item.Value)
 	if err != nil {
-		k.o.Log.Emit(event.InvariantBroken, slog.String("key", item.Key), slog.Any(event.KeyCause, err))
+		m.o.Log.Emit(event.InvariantBroken, slog.String("key", item.Key), slog.Any(event.KeyCause, err))
 		return
 	}
-	if ledger.Incarnation != k.o.Incarnation {
-		k.predecessor = ledger
+	if ledger.Incarnation != m.o.Incarnation {
+		m.predecessor = ledger
 	}
 }
--- a/internal/escrow/keeper_test.go
+++ b/internal/escrow/keeper_test.go
@@ -25,7 +25,7 @@
 	return b
 }
 
-func (b *bench) keeper(incarnation string, peers Peers) *Keeper {
+func (b *bench) keeper(incarnation string, peers Peers) *GrantManager {
 	return New(Options{
 		Store: b.store, Prefix: "budget/", VM: "vm", Address: "vm", Incarnation: incarnation,
 		Budgets: func() map[string]int64 { return b.paid }, Log: event.Discard(),
@@ -35,7 +35,7 @@
 }
 
 // startedBench is a bench whose keeper holds the account's first grant.
-func startedBench() (*bench, *Keeper, *grant) {
+func startedBench() (*bench, *GrantManager, *grant) {
 	b := newBench(1_000_000)
 	k := b.keeper("p1", noPeers{})
 	k.round(context.Background(), true)
--- a/internal/escrow/lend.go
+++ b/internal/escrow/lend.go
@@ -28,59 +28,59 @@
 // is a request that asks this router as a holder of the account: it gets what can be drawn,
 // and keeps its place in the queue while the store is away. Without one, what nobody waits
 // for is given, and nothing is drawn.
-func (k *Keeper) Lend(account string, tokens int64, waiterID string) Loan {
-	h := k.begin(account, tokens, waiterID != "", waiterID)
+func (m *GrantManager) Lend(account string, tokens int64, waiterID string) Loan {
+	h := m.begin(account, tokens, waiterID != "", waiterID)
 	loan := Loan{}
 	if waiterID != "" {
-		k.noteAsked(h.grant)
-		loan.Short = k.drawForLoan(h)
+		m.noteAsked(h.grant)
+		loan.Short = m.drawForLoan(h)
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	loan.Tokens = h.tokens - h.missing
 	h.grant.reserved -= loan.Tokens
 	loan.Used = h.grant.used()
 	h.grant.lent += loan.Tokens
-	loan.Spent = h.grant.netSpent() - h.grant.lately.sum(k.o.Clock().Steady)
+	loan.Spent = h.grant.netSpent() - h.grant.lately.sum(m.o.Clock().Steady)
 	h.grant.use += loan.Tokens
-	h.grant.lately.add(loan.Tokens, k.o.Clock().Steady)
+	h.grant.lately.add(loan.Tokens, m.o.Clock().Steady)
 	return loan
 }
 
 // noteAsked makes this router hold for the account, if it is not its home.
-func (k *Keeper) noteAsked(p *grant) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	p.askedAt = k.o.Clock().Steady
+func (m *GrantManager) noteAsked(p *grant) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	p.askedAt = m.o.Clock().Steady
 }
 
 // drawForLoan draws what a loan lacks, and says why it still does.
-func (k *Keeper) drawForLoan(h *hold) Shortage {
+func (m *GrantManager) drawForLoan(h *hold) Shortage {
 	if h.missing == 0 {
 		return None
 	}
-	if _, known := k.o.Budgets()[h.grant.account]; !known {
+	if _, known := m.o.Budgets()[h.grant.account]; !known {
 		return StoreAway // started a moment ago, without a configuration: it can't tell
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), lendPatience)
 	defer cancel()
-	err := k.draw(ctx, h)
+	err := m.draw(ctx, h)
 	if err == nil {
 		return None
 	}
-	k.o.Log.Emit(event.LoanShort, slog.String(event.KeyBudget, h.grant.account), slog.Int64("missing", h.missing), slog.Any(event.KeyCause, err))
+	m.o.Log.Emit(event.LoanShort, slog.String(event.KeyBudget, h.grant.account), slog.Int64("missing", h.missing), slog.Any(event.KeyCause, err))
 	short := shortageOf(err)
-	if short == StoreAway && !k.isAway() {
+	if short == StoreAway && !m.isAway() {
 		return Drawing
 	}
 	return short
 }
 
 // TakeBack undoes a loan that its borrower never got.
-func (k *Keeper) TakeBack(account string, tokens int64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	p := k.grant(account)
+func (m *GrantManager) TakeBack(account string, tokens int64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	p := m.grant(account)
 	p.lent -= tokens
 	p.use -= tokens
 }
@@ -94,7 +94,7 @@
 )
 
 // sweeps hands tokens back until ctx ends.
-func (k *Keeper) sweeps(ctx context.Context) {
+func (m *GrantManager) sweeps(ctx context.Context) {
 	ticker := time.NewTicker(sweepEvery)
 	defer ticker.Stop()
 	for {
@@ -102,30 +102,30 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			k.sweep(ctx)
+			m.sweep(ctx)
 		}
 	}
 }
 
 // sweep hands what is left here to the accounts' homes, so that it is not lost in
 // small parts with every router, and not missing where it is needed.
-func (k *Keeper) sweep(ctx context.Context) {
+func (m *GrantManager) sweep(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, sweepTime)
 	defer cancel()
-	for home, left := range k.strays() {
-		k.give(ctx, home, left)
+	for home, left := range m.strays() {
+		m.give(ctx, home, left)
 	}
 }
 
 // strays takes what is left here of accounts whose home is another router, by home.
-func (k *Keeper) strays() map[string]map[string]int64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *GrantManager) strays() map[string]map[string]int64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	byHome := make(map[string]map[string]int64)
-	for account, p := range k.grants {
-		address := k.o.Home(account)
-		tokens := p.available(k.age())
-		if k.role(p) != borrower || tokens <= 0 {
+	for account, p := range m.grants {
+		address := m.o.Home(account)
+		tokens := p.available(m.age())
+		if m.role(p) != borrower || tokens <= 0 {
 			continue
 		}
 		if byHome[address] == nil {
@@ -138,51 +138,51 @@
 }
 
 // give hands tokens to a router. They were counted as lent before.
-func (k *Keeper) give(ctx context.Context, address string, tokens map[string]int64) {
-	if k.o.Peers.HandOver(ctx, address, tokens) {
+func (m *GrantManager) give(ctx context.Context, address string, tokens map[string]int64) {
+	if m.o.Peers.HandOver(ctx, address, tokens) {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for account, n := range tokens {
-		k.grant(account).lent -= n
+		m.grant(account).lent -= n
 	}
 }
 
 // HandOver gives all unspent tokens to another router, where they can't be
 // returned: at a stop while the store is away.
-func (k *Keeper) HandOver(ctx context.Context, address string) {
-	k.mu.Lock()
+func (m *GrantManager) HandOver(ctx context.Context, address string) {
+	m.mu.Lock()
 	left := make(map[string]int64)
-	for account, p := range k.grants {
-		if tokens := p.available(k.age()); tokens > 0 {
+	for account, p := range m.grants {
+		if tokens := p.available(m.age()); tokens > 0 {
 			left[account] = tokens
 			p.lent += tokens
 		}
 	}
-	k.mu.Unlock()
-	k.o.Log.Emit(event.TokensHandedOver, slog.String(event.KeyRouter, address), slog.Int("accounts", len(left)))
-	k.give(ctx, address, left)
+	m.mu.Unlock()
+	m.o.Log.Emit(event.TokensHandedOver, slog.String(event.KeyRouter, address), slog.Int("accounts", len(left)))
+	m.give(ctx, address, left)
 }
 
 // Leave says that this router is about to stop: it takes no tokens of others any more.
 // Where several stop at once, each may hold another one for the new home; what they hand
 // to each other then is lost, since only what a router was granted itself is returned.
-func (k *Keeper) Leave() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.leaving = true
+func (m *GrantManager) Leave() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.leaving = true
 }
 
 // Accept takes tokens that another router hands over; false: none of them.
-func (k *Keeper) Accept(tokens map[string]int64) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.leaving {
+func (m *GrantManager) Accept(tokens map[string]int64) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.leaving {
 		return false
 	}
 	for account, n := range tokens {
-		p := k.grant(account)
+		p := m.grant(account)
 		p.borrowed += max(0, n)
 		p.use -= max(0, n)
 	}
--- a/internal/escrow/outage_test.go
+++ b/internal/escrow/outage_test.go
@@ -123,7 +123,7 @@
 
 // reserveError is what a request of 8,000 tokens is refused with. The records count as read
 // just now, so that no round with the store is waited for.
-func reserveError(k *Keeper) error {
+func reserveError(k *GrantManager) error {
 	k.readAt = k.o.Clock().Steady
 	_, err := k.Reserve(context.Background(), "boatyard", 8_000)
 	return err
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -11,13 +11,13 @@
 // Reserve sets tokens aside: out of what is here, else from the routers that hold the
 // account's grant for all, else by a draw of its own. While the store is away for all, it
 // asks all other routers: what one lacks lies unused at another.
-func (k *Keeper) Reserve(ctx context.Context, account string, tokens int64) (*Reservation, error) {
-	h := k.begin(account, tokens, k.roleOf(account) == home, "")
-	err := k.obtain(ctx, h)
-	for errors.Is(err, ErrUnreachable) && k.opensSoon() && pause(ctx, openPoll) {
-		err = k.again(ctx, h)
+func (m *GrantManager) Reserve(ctx context.Context, account string, tokens int64) (*Reservation, error) {
+	h := m.begin(account, tokens, m.roleOf(account) == home, "")
+	err := m.obtain(ctx, h)
+	for errors.Is(err, ErrUnreachable) && m.opensSoon() && pause(ctx, openPoll) {
+		err = m.again(ctx, h)
 	}
-	k.noteIsolated(errors.Is(err, ErrUnreachable))
+	m.noteIsolated(errors.Is(err, ErrUnreachable))
 	if err != nil {
 		h.release()
 		return nil, err
@@ -26,26 +26,26 @@
 }
 
 // obtain fills a hold, or says why it can't be.
-func (k *Keeper) obtain(ctx context.Context, h *hold) error {
+func (m *GrantManager) obtain(ctx context.Context, h *hold) error {
 	if h.missing == 0 {
 		return nil
 	}
-	short, inContact := k.borrowFromHolders(ctx, h)
+	short, inContact := m.borrowFromHolders(ctx, h)
 	if h.missing == 0 {
 		return nil
 	}
 	if inContact {
 		return short.err() // one that can draw has no more: nobody has
 	}
-	if k.mayDraw(h.grant) {
-		if err := k.draw(ctx, h); !errors.Is(err, ErrUnreachable) {
+	if m.mayDraw(h.grant) {
+		if err := m.draw(ctx, h); !errors.Is(err, ErrUnreachable) {
 			return err
 		}
 	}
 	if ctx.Err() != nil {
 		return ErrUnreachable
 	}
-	return k.borrow(ctx, h)
+	return m.borrow(ctx, h)
 }
 
 // openPoll is how often a reservation that waits for the opening tries again, and
@@ -59,10 +59,10 @@
 // held beyond the ceilings opens while a caller waits. Ceilings are low, so that
 // little is lost with a router that dies; the first seconds of an outage are
 // bridged by waiting.
-func (k *Keeper) opensSoon() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.away && k.age() < openAfter+opensWithin
+func (m *GrantManager) opensSoon() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.away && m.age() < openAfter+opensWithin
 }
 
 // pause waits; false if ctx ended first.
@@ -76,12 +76,12 @@
 }
 
 // again tries to fill a hold from here and from the account's holders.
-func (k *Keeper) again(ctx context.Context, h *hold) error {
-	k.mu.Lock()
+func (m *GrantManager) again(ctx context.Context, h *hold) error {
+	m.mu.Lock()
 	h.fill()
-	k.mu.Unlock()
+	m.mu.Unlock()
 	if h.missing > 0 {
-		k.borrowFromHolders(ctx, h)
+		m.borrowFromHolders(ctx, h)
 	}
 	if h.missing > 0 {
 		return ErrUnreachable
@@ -94,28 +94,28 @@
 const isolatedMost = 3
 
 // noteIsolated counts reservations that found nobody.
-func (k *Keeper) noteIsolated(isolated bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *GrantManager) noteIsolated(isolated bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if !isolated {
-		k.isolated = 0
+		m.isolated = 0
 		return
 	}
-	k.isolated++
+	m.isolated++
 }
 
 // Isolated says whether this router can't pay for requests while others may: it is
 // cut off from the store and from them. Callers are better served elsewhere.
-func (k *Keeper) Isolated() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.away && k.isolated >= isolatedMost
+func (m *GrantManager) Isolated() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.away && m.isolated >= isolatedMost
 }
 
 // hold is a reservation that is being put together. What it has is set aside at
 // once: else requests that come meanwhile take it, and all of them come up short.
 type hold struct {
-	keeper  *Keeper
+	keeper  *GrantManager
 	grant   *grant
 	tokens  int64
 	missing int64
@@ -125,17 +125,17 @@
 }
 
 // begin puts a hold together out of what is here. Without a name it gets one.
-func (k *Keeper) begin(account string, tokens int64, queued bool, waiterID string) *hold {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *GrantManager) begin(account string, tokens int64, queued bool, waiterID string) *hold {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if waiterID == "" {
-		k.waiters++
-		waiterID = k.o.Incarnation + "/" + strconv.FormatInt(k.waiters, 10)
+		m.waiters++
+		waiterID = m.o.Incarnation + "/" + strconv.FormatInt(m.waiters, 10)
 	}
-	h := &hold{keeper: k, grant: k.grant(account), tokens: tokens, missing: tokens, queued: queued, waiterID: waiterID}
+	h := &hold{keeper: m, grant: m.grant(account), tokens: tokens, missing: tokens, queued: queued, waiterID: waiterID}
 	h.fill()
-	if _, short := h.grant.raised(h.grant.granted, k.o.Budgets()[account], k.role(h.grant), k.roundTrip); short {
-		k.wakeUp()
+	if _, short := h.grant.raised(h.grant.granted, m.o.Budgets()[account], m.role(h.grant), m.roundTrip); short {
+		m.wakeUp()
 	}
 	return h
 }
@@ -190,18 +190,18 @@
 
 // patience is how long a reservation waits for a draw: for one that is under way and the
 // one that follows it, with the pauses between them.
-func (k *Keeper) patience() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return max(drawPatience, slowWrites*(k.roundTrip+roundPause))
+func (m *GrantManager) patience() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return max(drawPatience, slowWrites*(m.roundTrip+roundPause))
 }
 
 // draw waits until the hold is filled by a draw, or says why it can't be.
-func (k *Keeper) draw(ctx context.Context, h *hold) error {
-	patience := time.NewTimer(k.patience())
+func (m *GrantManager) draw(ctx context.Context, h *hold) error {
+	patience := time.NewTimer(m.patience())
 	defer patience.Stop()
 	for round := 0; ; round++ {
-		changed, err := k.await(h, round > 0)
+		changed, err := m.await(h, round > 0)
 		if changed == nil {
 			return err
 		}
@@ -209,10 +209,10 @@
 		case <-ctx.Done():
 			err = ErrUnreachable
 		case <-patience.C:
-			err = k.patienceOver(h)
+			err = m.patienceOver(h)
 		case <-changed:
 		}
-		k.stopWaiting(h)
+		m.stopWaiting(h)
 		if err != nil {
 			return err
 		}
@@ -221,9 +221,9 @@
 
 // patienceOver is what a reservation that has waited long enough ends with. While tokens are
 // gathered all is granted, and nothing more comes of asking further routers.
-func (k *Keeper) patienceOver(h *hold) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *GrantManager) patienceOver(h *hold) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if h.grant.gathering {
 		return ErrContended
 	}
@@ -232,41 +232,41 @@
 
 // await fills the hold if it can, and returns nothing. Else it returns the channel
 // that closes after the next round with the store, or why waiting doesn't help.
-func (k *Keeper) await(h *hold, waited bool) (<-chan struct{}, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *GrantManager) await(h *hold, waited bool) (<-chan struct{}, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	h.fill()
 	switch {
 	case h.missing == 0:
 		return nil, nil
-	case k.away:
+	case m.away:
 		return nil, ErrUnreachable
-	case h.grant.decided && (waited || k.isFresh()) && k.lacks(h):
-		why := k.shortage(h)
-		if !errors.Is(why, ErrContended) || !k.gather(h) {
+	case h.grant.decided && (waited || m.isFresh()) && m.lacks(h):
+		why := m.shortage(h)
+		if !errors.Is(why, ErrContended) || !m.gather(h) {
 			return nil, why
 		}
 	}
 	h.grant.waiting += h.missing
-	k.wakeUp()
-	return k.changed, nil
+	m.wakeUp()
+	return m.changed, nil
 }
 
 // isFresh says whether the records are known as they were a moment ago. Then a request that
 // can't be served is refused at once, and not after a round with the store that only says
 // the same.
-func (k *Keeper) isFresh() bool {
-	return k.readAt > 0 && k.o.Clock().Steady-k.readAt < readEvery
+func (m *GrantManager) isFresh() bool {
+	return m.readAt > 0 && m.o.Clock().Steady-m.readAt < readEvery
 }
 
 // lacks says whether the record can't give what is missing.
-func (k *Keeper) lacks(h *hold) bool {
+func (m *GrantManager) lacks(h *hold) bool {
 	p := h.grant
-	return p.free(k.o.Budgets()[p.account])+p.granted-p.used() < h.missing
+	return p.free(m.o.Budgets()[p.account])+p.granted-p.used() < h.missing
 }
 
-func (k *Keeper) stopWaiting(h *hold) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *GrantManager) stopWaiting(h *hold) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	h.grant.waiting -= h.missing
 }
--- a/internal/escrow/stop.go
+++ b/internal/escrow/stop.go
@@ -12,22 +12,22 @@
 
 // Return gives all unspent grants back, at a planned stop. Requests that still
 // run keep their reservations out of it; they count as spent.
-func (k *Keeper) Return(ctx context.Context) error {
-	k.mu.Lock()
-	k.stopped = true
-	away := k.away
-	k.mu.Unlock()
+func (m *GrantManager) Return(ctx context.Context) error {
+	m.mu.Lock()
+	m.stopped = true
+	away := m.away
+	m.mu.Unlock()
 	if away {
 		return ErrUnreachable
 	}
 	const rounds = 8 // each conflict means that another router's write landed
 	var err error
 	for i := 0; i < rounds; i++ {
-		d, any := k.closing()
+		d, any := m.closing()
 		if !any {
 			return nil
 		}
-		if err = k.close(ctx, d); err == nil {
+		if err = m.close(ctx, d); err == nil {
 			continue
 		}
 		if errors.Is(err, store.ErrConflict) {
@@ -38,46 +38,46 @@
 	return err
 }
 
-func (k *Keeper) closing() (draw, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *GrantManager) closing() (draw, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	d := draw{}
-	for _, p := range k.grants {
-		if !p.decided || p.record.Figure(k.o.VM, k.o.Incarnation).Seq == 0 || len(d.grants) == txnAccounts {
+	for _, p := range m.grants {
+		if !p.decided || p.record.Figure(m.o.VM, m.o.Incarnation).Seq == 0 || len(d.grants) == txnAccounts {
 			continue
 		}
 		used := max(0, min(p.granted, p.used()))
 		p.granted = min(p.granted, used)
 		d.pendingAt = append(d.pendingAt, p.pendingAt)
 		d.grants = append(d.grants, p)
-		d.put(k.accountKey(p), p.revision, p.record.Without(k.o.VM, k.o.Incarnation, used, k.mostSpent(&d, p)))
+		d.put(m.accountKey(p), p.revision, p.record.Without(m.o.VM, m.o.Incarnation, used, m.mostSpent(&d, p)))
 	}
 	return d, len(d.grants) > 0
 }
 
-func (k *Keeper) close(ctx context.Context, d draw) error {
+func (m *GrantManager) close(ctx context.Context, d draw) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	result, err := k.o.Store.Commit(ctx, d.txn)
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	result, err := m.o.Store.Commit(ctx, d.txn)
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if errors.Is(err, store.ErrConflict) {
-		k.conflicted(d, result)
+		m.conflicted(d, result)
 		return err
 	}
 	if errors.Is(err, store.ErrUnavailable) {
 		for i, p := range d.grants { // nothing was done: the grants are still here
 			p.pendingAt = d.pendingAt[i]
-			p.learned(p.record, p.revision, p.record.Figure(k.o.VM, k.o.Incarnation))
+			p.learned(p.record, p.revision, p.record.Figure(m.o.VM, m.o.Incarnation))
 		}
 	}
 	if err != nil {
 		return errors.Wrap(err, "return of grants")
 	}
-	k.logEnds(d)
+	m.logEnds(d)
 	for i, p := range d.grants {
 		p.record, p.revision = d.records[i], int64(result.Revision)
-		k.o.Log.Emit(event.GrantsReturned, slog.String(event.KeyBudget, p.account), slog.Int64("spent", p.spent))
+		m.o.Log.Emit(event.GrantsReturned, slog.String(event.KeyBudget, p.account), slog.Int64("spent", p.spent))
 	}
 	return nil
 }
--- a/internal/escrow/world_test.go
+++ b/internal/escrow/world_test.go
@@ -38,7 +38,7 @@
 // router is one VM with its present process.
 type router struct {
 	vm     string
-	keeper *Keeper
+	keeper *GrantManager
 	open   []*Reservation
 	boot   int
 	// skew is how far this VM's steady clock is off: it begins anew at each boot.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -120,7 +120,7 @@
 	places     rankings[pacing.Place] // of this router, by start of a backend server
 	limits     *pacing.Limits
 	listing    listing
-	keeper     *escrow.Keeper
+	keeper     *escrow.GrantManager
 	retries    *retry.Budget
 	held       *retry.Quarantine
 	client     *upstream.Client
