--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -56,7 +56,7 @@
 type Program struct {
 	Name, Help string
 	// Dialect is how it speaks with its surroundings.
-	Dialect func(settings *node.Settings, clock func() escrow.ClockReading, log *event.Log) node.Dialect
+	Dialect func(settings *node.Settings, clock func() escrow.ClockReading, log *event.Log) node.Environment
 }
 
 // Main runs the program with the command line's arguments and ends the process.
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -54,7 +54,7 @@
 }
 
 func (n *Node) serversFollower() *store.Follower {
-	drain := max(n.settings.Drain, drainLeast)
+	drain := max(n.settings.DrainTime, drainLeast)
 	part := func(share float64) time.Duration { return time.Duration(share * float64(drain)) }
 	return &store.Follower{Prefix: n.dialect.ServersPrefix, Sink: n.registry,
 		Wait: part(serversWaitPart), Pause: part(serversPausePart), CheckAfter: part(serversCheckPart),
@@ -69,7 +69,7 @@
 // sourceChanged logs where a follower learns from, at each change.
 func (n *Node) sourceChanged(prefix string) func(relayed bool) {
 	return func(relayed bool) {
-		n.metrics.Source(prefix, relayed)
+		n.metrics.SetRelayed(prefix, relayed)
 		n.log.Emit(event.SourceChanged, slog.String("follows", prefix), slog.Bool("relayed", relayed))
 	}
 }
@@ -77,7 +77,7 @@
 // checked logs that what is known got old, and is asked for beside the call under way.
 func (n *Node) checked(prefix string) func(age time.Duration, relayed, failing bool) {
 	return func(age time.Duration, relayed, failing bool) {
-		n.metrics.Checked(prefix)
+		n.metrics.CountStale(prefix)
 		n.log.Emit(event.KnowledgeOld, slog.String("follows", prefix), slog.Int64("age_ms", age.Milliseconds()),
 			slog.Bool("relayed", relayed), slog.Bool("store_failing", failing))
 	}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -18,15 +18,15 @@
 
 // Metrics of one router; it implements forward.Metrics.
 type Metrics struct {
-	registry *prometheus.Registry
-	first    prometheus.Histogram
-	whole    prometheus.Histogram
-	refused  *prometheus.CounterVec
-	repeated *prometheus.CounterVec
-	Dials    prometheus.Counter
-	calls    *prometheus.CounterVec
-	relayed  *prometheus.GaugeVec
-	checked  *prometheus.CounterVec
+	registry     *prometheus.Registry
+	first        prometheus.Histogram
+	whole        prometheus.Histogram
+	refused      *prometheus.CounterVec
+	repeated     *prometheus.CounterVec
+	BackendDials prometheus.Counter
+	calls        *prometheus.CounterVec
+	relayed      *prometheus.GaugeVec
+	checked      *prometheus.CounterVec
 
 	mu     sync.Mutex
 	recent map[string]int // calls to the store since the last line of the log
@@ -36,12 +36,12 @@
 func NewMetrics() *Metrics {
 	buckets := prometheus.ExponentialBuckets(0.005, 2, 12) // 5 ms to 10 s
 	m := &Metrics{
-		registry: prometheus.NewRegistry(),
-		first:    prometheus.NewHistogram(prometheus.HistogramOpts{Name: "chicory_first_byte_seconds", Help: "From arrival to the answer's first byte.", Buckets: buckets}),
-		whole:    prometheus.NewHistogram(prometheus.HistogramOpts{Name: "chicory_answer_seconds", Help: "From arrival to the answer's end.", Buckets: buckets}),
-		refused:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_refused_total", Help: "Requests without a backend server's whole answer, by cause."}, []string{"cause"}),
-		repeated: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_repeated_total", Help: "Requests sent once more, by reason."}, []string{"why"}),
-		Dials:    prometheus.NewCounter(prometheus.CounterOpts{Name: "chicory_backend_dials_total", Help: "Connections opened to backend servers."}),
+		registry:     prometheus.NewRegistry(),
+		first:        prometheus.NewHistogram(prometheus.HistogramOpts{Name: "chicory_first_byte_seconds", Help: "From arrival to the answer's first byte.", Buckets: buckets}),
+		whole:        prometheus.NewHistogram(prometheus.HistogramOpts{Name: "chicory_answer_seconds", Help: "From arrival to the answer's end.", Buckets: buckets}),
+		refused:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_refused_total", Help: "Requests without a backend server's whole answer, by cause."}, []string{"cause"}),
+		repeated:     prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_repeated_total", Help: "Requests sent once more, by reason."}, []string{"why"}),
+		BackendDials: prometheus.NewCounter(prometheus.CounterOpts{Name: "chicory_backend_dials_total", Help: "Connections opened to backend servers."}),
 	}
 	m.calls = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_store_calls_total",
 		Help: "Calls to the store, by kind, subject and outcome."}, []string{"kind", "subject", "outcome"})
@@ -50,7 +50,7 @@
 	m.checked = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_knowledge_old_total",
 		Help: "Times that what lies under the prefix was not confirmed in time."}, []string{"prefix"})
 	m.recent = make(map[string]int)
-	m.registry.MustRegister(m.first, m.whole, m.refused, m.repeated, m.Dials, m.calls, m.relayed, m.checked)
+	m.registry.MustRegister(m.first, m.whole, m.refused, m.repeated, m.BackendDials, m.calls, m.relayed, m.checked)
 	return m
 }
 
@@ -82,8 +82,8 @@
 	callFailed   = "failed"
 )
 
-// StoreCall counts one call to the store, for store.Counted.
-func (m *Metrics) StoreCall(kind, subject string, err error) {
+// CountStoreCall counts one call to the store. It is the callback of store.Counted.
+func (m *Metrics) CountStoreCall(kind, subject string, err error) {
 	outcome, key := callAnswered, kind+" "+subject
 	if err != nil && !errors.Is(err, store.ErrConflict) {
 		outcome = callFailed
@@ -95,8 +95,9 @@
 	m.recent[key]++
 }
 
-// Source notes where this router learns what lies under a prefix.
-func (m *Metrics) Source(prefix string, relayed bool) {
+// SetRelayed records whether this router follows the prefix through another router (relayed)
+// or in the store.
+func (m *Metrics) SetRelayed(prefix string, relayed bool) {
 	value := 0.0
 	if relayed {
 		value = 1
@@ -104,8 +105,8 @@
 	m.relayed.WithLabelValues(prefix).Set(value)
 }
 
-// Checked notes that what lies under a prefix was not confirmed in time.
-func (m *Metrics) Checked(prefix string) {
+// CountStale counts that the data under the prefix was not confirmed in time.
+func (m *Metrics) CountStale(prefix string) {
 	m.checked.WithLabelValues(prefix).Inc()
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -80,8 +80,9 @@
 	relayWait = 500 * time.Millisecond
 )
 
-// Dialect is what the node needs to speak with its surroundings.
-type Dialect struct {
+// Environment connects a node to its deployment: the store, the clocks, the formats of stored
+// records and of backend requests, and the HTTP handlers.
+type Environment struct {
 	Store store.Store
 	Clock func() escrow.ClockReading
 	// Now is a clock that goes on while the VM is suspended; nil means time.Now.
@@ -94,16 +95,17 @@
 	ServersPrefix   string
 	DecodeServer    fleet.DecodeEntry
 	Codec           upstream.Codec
-	// Front, Directory and Ready make the handlers of the three listeners.
-	Front     func(callers.Router) http.Handler
-	Directory func(resolve func(domain, caller string) []string, ttl time.Duration) http.Handler
-	Ready     func(ready func() bool) http.Handler
+	// CallerHandler, DirectoryHandler and ReadyHandler create the handlers of the listeners of
+	// the same names.
+	CallerHandler    func(callers.Router) http.Handler
+	DirectoryHandler func(resolve func(domain, caller string) []string, ttl time.Duration) http.Handler
+	ReadyHandler     func(ready func() bool) http.Handler
 }
 
 // Node is one router.
 type Node struct {
 	settings    *Settings
-	dialect     Dialect
+	dialect     Environment
 	log         *event.Log
 	incarnation string
 	metrics     *Metrics
@@ -140,10 +142,10 @@
 }
 
 // New makes a node. incarnation is a name that no other process ever has.
-func New(s *Settings, d Dialect, log *event.Log, incarnation string) *Node {
+func New(s *Settings, d Environment, log *event.Log, incarnation string) *Node {
 	n := &Node{settings: s, dialect: d, log: log, incarnation: incarnation, metrics: NewMetrics(), reports: make(chan uint64, reportsMost),
 		stopNotice: make(chan struct{}), born: time.Now()}
-	d.Store = store.Counted{Store: d.Store, Count: n.metrics.StoreCall}
+	d.Store = store.Counted{Store: d.Store, Count: n.metrics.CountStoreCall}
 	n.dialect.Store = d.Store
 	n.registry = fleet.NewRegistry(d.DecodeServer, log, nil)
 	n.registry.SetWarmUp(n.warmUp)
@@ -154,10 +156,10 @@
 	}
 	n.retries = retry.NewBudget(retryLimits(s), 1, nil)
 	n.held = retry.NewQuarantine(nil)
-	n.client = upstream.NewClient(d.Codec, n.metrics.Dials)
+	n.client = upstream.NewClient(d.Codec, n.metrics.BackendDials)
 	n.peers = peers.NewClient(incarnation, n.peerAddresses, log)
 	n.keeper = escrow.New(escrow.Options{
-		Store: d.Store, Prefix: BudgetPrefix, VM: s.VM, Address: s.Peers, Incarnation: incarnation, Clock: d.Clock,
+		Store: d.Store, Prefix: BudgetPrefix, VM: s.VM, Address: s.PeerAddr, Incarnation: incarnation, Clock: d.Clock,
 		Budgets: n.budgets, Home: n.homeOf, Holders: n.holdersOf, Log: log, Peers: n.peers,
 	})
 	n.limits = pacing.NewLimits(log, nil)
@@ -240,7 +242,7 @@
 }
 
 func (n *Node) self() fleet.Member {
-	return fleet.Member{Name: n.settings.VM, Address: n.settings.Callers, Peer: n.settings.Peers, Domain: n.settings.FailureDomain,
+	return fleet.Member{Name: n.settings.VM, Address: n.settings.CallerAddr, Peer: n.settings.PeerAddr, Domain: n.settings.FailureDomain,
 		Capacity: n.settings.Capacity}
 }
 
@@ -309,7 +311,7 @@
 		return false
 	}
 	route := p.Route(r.Host, r.Path)
-	left := n.settings.Grace - returnTime - since
+	left := n.settings.GracePeriod - returnTime - since
 	return route != nil && route.Timeout > 0 && route.Timeout < left
 }
 
@@ -334,7 +336,7 @@
 	}
 	tasks.Go(n.servePeers)
 	n.follow(background, &tasks)
-	n.log.Emit(event.ProcessStarted, slog.String("callers", n.settings.Callers), slog.String("incarnation", n.incarnation))
+	n.log.Emit(event.ProcessStarted, slog.String("callers", n.settings.CallerAddr), slog.String("incarnation", n.incarnation))
 	<-ctx.Done()
 	n.stop()
 	n.closeListeners()
@@ -344,7 +346,7 @@
 
 func (n *Node) servePeers() {
 	if err := peers.Serve(n.peerListener, n.keeper, n, n.log); !errors.Is(err, net.ErrClosed) {
-		n.log.Emit(event.ListenerFailed, slog.String("address", n.settings.Peers), slog.Any(event.KeyCause, err))
+		n.log.Emit(event.ListenerFailed, slog.String("address", n.settings.PeerAddr), slog.Any(event.KeyCause, err))
 	}
 }
 
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -9,44 +9,45 @@
 	"gopkg.in/ini.v1"
 )
 
-// ErrSettings: the settings file can't be used. The text names section and key.
-var ErrSettings = errors.New("settings")
+// ErrInvalidSettings reports a settings file that cannot be read or has an invalid value. The
+// error text names the section and the key.
+var ErrInvalidSettings = errors.New("settings")
 
-// Settings of one router, from an INI file; docs/SETTINGS.md lists the keys.
+// Settings configures one router. It is read from an INI file; docs/SETTINGS.md lists the keys.
 type Settings struct {
-	VM            string // name of this VM
+	VM            string // name of the VM that runs this router
 	FailureDomain string
 
-	// Listen addresses, IP:port.
-	Callers   string
-	Ready     string
-	Directory string
-	Metrics   string
-	Peers     string // other routers
+	// Listen addresses in the form IP:port.
+	CallerAddr    string
+	ReadyAddr     string
+	DirectoryAddr string
+	MetricsAddr   string
+	PeerAddr      string // for other routers
 
-	// Seeds are addresses of some routers, which may be stale; for a start while
-	// the store is away.
-	Seeds []string
+	// SeedAddrs are peer addresses of some routers, possibly stale. A router that starts while
+	// the store is unreachable gets its initial state from one of them.
+	SeedAddrs []string
 
-	Store string // address of the key-value store
+	StoreAddr string // address of the key-value store
 
-	// Drain is how long a backend server still serves after it said that it leaves.
-	Drain time.Duration
+	// DrainTime is how long a backend server keeps serving after it announced that it leaves.
+	DrainTime time.Duration
 
-	// Grace is how long a planned stop may take.
-	Grace time.Duration
-	// EntryTTL is how long callers may keep the addresses that they were told.
+	// GracePeriod is the maximum duration of a graceful shutdown.
+	GracePeriod time.Duration
+	// EntryTTL is how long callers may cache router addresses from the directory.
 	EntryTTL time.Duration
 
-	// Repeats of requests, for all routers together.
+	// Retry budget, shared by all routers: see retry.Limits.
 	RetryRatio  float64
 	RetryExtra  float64
 	RetryWindow time.Duration
 
-	// Capacity is what the VM can carry, in cores of work; 0: not stated.
+	// Capacity is the load that the VM can carry, in CPU cores; 0 if unknown.
 	Capacity float64
 
-	// MemoryMB is what the process may use; 0: no bound.
+	// MemoryMB is the memory limit of the process; 0 means no limit.
 	MemoryMB int
 }
 
@@ -58,7 +59,7 @@
 func LoadSettings(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(ErrSettings, err.Error())
+		return nil, errors.Wrap(ErrInvalidSettings, err.Error())
 	}
 	return ParseSettings(data)
 }
@@ -67,21 +68,21 @@
 func ParseSettings(data []byte) (*Settings, error) {
 	file, err := ini.Load(data)
 	if err != nil {
-		return nil, errors.Wrap(ErrSettings, err.Error())
+		return nil, errors.Wrap(ErrInvalidSettings, err.Error())
 	}
 	p := &parser{file: file}
 	s := &Settings{
 		VM:            p.text("router", "vm"),
 		FailureDomain: p.text("router", "failure_domain"),
-		Callers:       p.address("listen", "callers"),
-		Ready:         p.address("listen", "ready"),
-		Directory:     p.address("listen", "directory"),
-		Metrics:       p.address("listen", "metrics"),
-		Peers:         p.address("listen", "peers"),
-		Seeds:         p.addresses("router", "seeds"),
-		Store:         p.address("store", "address"),
-		Drain:         time.Duration(p.number("store", "drain_ms", 0)) * time.Millisecond,
-		Grace:         p.seconds("router", "grace_s", 0),
+		CallerAddr:    p.address("listen", "callers"),
+		ReadyAddr:     p.address("listen", "ready"),
+		DirectoryAddr: p.address("listen", "directory"),
+		MetricsAddr:   p.address("listen", "metrics"),
+		PeerAddr:      p.address("listen", "peers"),
+		SeedAddrs:     p.addresses("router", "seeds"),
+		StoreAddr:     p.address("store", "address"),
+		DrainTime:     time.Duration(p.number("store", "drain_ms", 0)) * time.Millisecond,
+		GracePeriod:   p.seconds("router", "grace_s", 0),
 		EntryTTL:      p.seconds("router", "entry_ttl_s", entryTTLDefault),
 		RetryRatio:    p.number("retries", "ratio", 0),
 		RetryExtra:    p.number("retries", "extra", 0),
@@ -119,7 +120,7 @@
 
 func (p *parser) fail(section, key, what string) {
 	if p.err == nil {
-		p.err = errors.Wrapf(ErrSettings, "[%s] %s: %s", section, key, what)
+		p.err = errors.Wrapf(ErrInvalidSettings, "[%s] %s: %s", section, key, what)
 	}
 }
 
