--- a/internal/escrow/away_test.go
+++ b/internal/escrow/away_test.go
@@ -14,7 +14,7 @@
 type unreachedPeers struct{ Peers }
 
 func (unreachedPeers) BorrowFrom(context.Context, string, string, int64, string) Loan {
-	return Loan{Short: NotReached}
+	return Loan{Short: PeerUnreachable}
 }
 
 // Guards against passing a home by for a second because one caller left.
--- a/internal/escrow/gather.go
+++ b/internal/escrow/gather.go
@@ -147,7 +147,7 @@
 	p.borrowed += loan.Tokens
 	p.gathering = false
 	now := m.o.Clock().Steady
-	if loan.Short == NotReached {
+	if loan.Short == PeerUnreachable {
 		m.unreached[g.vm] = now
 	} else {
 		p.reports[g.vm] = useReport{spent: loan.Spent, at: now}
--- a/internal/escrow/holders.go
+++ b/internal/escrow/holders.go
@@ -16,9 +16,9 @@
 // with the store, the first of its standbys that has. All others ask those and don't write
 // the record: the writes of a record don't grow with the routers, nor race for it.
 
-// HoldersMost is how many routers are ranked for an account. That the store refuses all of
+// MaxHolders is how many routers are ranked for an account. That the store refuses all of
 // them and not the others is rare.
-const HoldersMost = 6
+const MaxHolders = 6
 
 // role is what a router is for an account.
 type role int
@@ -44,30 +44,30 @@
 type Shortage int
 
 const (
-	// None: it gave all.
-	None Shortage = iota
-	// NotReached: it didn't answer.
-	NotReached
-	// Drawing: it waits for a draw longer than the borrower's call may take.
-	Drawing
-	// StoreAway: it has no contact with the store and could not draw.
-	StoreAway
-	// Held: all is granted, and some of it may come back.
-	Held
+	// NoShortage: it gave all.
+	NoShortage Shortage = iota
+	// PeerUnreachable: it didn't answer.
+	PeerUnreachable
+	// DrawPending: it waits for a draw longer than the borrower's call may take.
+	DrawPending
+	// StoreUnreachable: it has no contact with the store and could not draw.
+	StoreUnreachable
+	// HeldElsewhere: all is granted, and some of it may come back.
+	HeldElsewhere
 	// InDoubt: the rest may have been spent by routers that died.
 	InDoubt
-	// UsedUp: the rest surely doesn't cover the request.
-	UsedUp
+	// Exhausted: the rest surely doesn't cover the request.
+	Exhausted
 )
 
 // err is what a reservation ends with for want of tokens.
 func (s Shortage) err() error {
 	switch s {
-	case Drawing, Held:
+	case DrawPending, HeldElsewhere:
 		return ErrContended
 	case InDoubt:
 		return ErrInDoubt
-	case UsedUp:
+	case Exhausted:
 		return ErrExhausted
 	}
 	return ErrUnreachable
@@ -75,22 +75,22 @@
 
 // inContact says whether the router could have drawn if there were more to draw.
 func (s Shortage) inContact() bool {
-	return s == Drawing || s == Held || s == InDoubt || s == UsedUp
+	return s == DrawPending || s == HeldElsewhere || s == InDoubt || s == Exhausted
 }
 
 // shortageOf is what a lender tells of an error.
 func shortageOf(err error) Shortage {
 	switch {
 	case err == nil:
-		return None
+		return NoShortage
 	case errors.Is(err, ErrContended):
-		return Held
+		return HeldElsewhere
 	case errors.Is(err, ErrInDoubt):
 		return InDoubt
 	case errors.Is(err, ErrExhausted):
-		return UsedUp
+		return Exhausted
 	}
-	return StoreAway
+	return StoreUnreachable
 }
 
 // roleOf is this router's role for an account.
@@ -124,7 +124,7 @@
 	ranked, awayHome := m.holdersToAsk(h.grant.account)
 	for _, address := range ranked {
 		short = m.borrowFrom(ctx, h, address)
-		for tries := 1; short == Drawing && tries < drawingMost && ctx.Err() == nil; tries++ {
+		for tries := 1; short == DrawPending && tries < drawingMost && ctx.Err() == nil; tries++ {
 			short = m.borrowFrom(ctx, h, address)
 		}
 		if inContact = short.inContact(); inContact || h.missing == 0 {
@@ -142,7 +142,7 @@
 	loan := m.o.Peers.BorrowFrom(ctx, address, h.grant.account, h.missing, h.waiterID)
 	h.got(loan.Tokens)
 	// A request whose time is over tells nothing of whom it asked.
-	if ctx.Err() == nil && (loan.Short == NotReached || loan.Short == StoreAway) {
+	if ctx.Err() == nil && (loan.Short == PeerUnreachable || loan.Short == StoreUnreachable) {
 		m.noteAway(address)
 	}
 	return loan.Short
--- a/internal/escrow/holders_test.go
+++ b/internal/escrow/holders_test.go
@@ -87,7 +87,7 @@
 // holdersFor are the account's holders as one router addresses them.
 func (m *members) holdersFor(router string) []string {
 	var addresses []string
-	for i := range HoldersMost {
+	for i := range MaxHolders {
 		name := fmt.Sprintf("r%d", i)
 		if _, gone := m.unlisted.Load(name); gone && name != router {
 			continue
@@ -115,7 +115,7 @@
 	if _, dead := p.members.dead.Load(address); dead {
 		p.members.deadAsks.Add(1)
 		time.Sleep(200 * time.Millisecond) // what opening a connection may take
-		return Loan{Short: NotReached}
+		return Loan{Short: PeerUnreachable}
 	}
 	time.Sleep(time.Millisecond)
 	return p.members.keepers[address].Lend(account, tokens, waiter)
@@ -212,9 +212,9 @@
 			play(t, size, 3, 1_000_000_000, func(ctx context.Context, m *members) {
 				c := qt.New(t)
 				const long = 4 * time.Second
-				o := m.use(ctx, names(HoldersMost, size), long)
+				o := m.use(ctx, names(MaxHolders, size), long)
 				c.Assert(o.refused, qt.HasLen, 0)
-				c.Assert(o.served > (size-HoldersMost)*30, qt.IsTrue, qt.Commentf("%d served", o.served))
+				c.Assert(o.served > (size-MaxHolders)*30, qt.IsTrue, qt.Commentf("%d served", o.served))
 				c.Assert(m.writesBy(names(4, size)), qt.Equals, int64(0), qt.Commentf("others than the third standby write"))
 				// One that holds two seconds of use writes some times a second while it
 				// learns how much that is.
@@ -233,7 +233,7 @@
 		first := m.use(ctx, names(0, size), time.Second)
 		c.Assert(first.served <= paid/1000, qt.IsTrue)
 		time.Sleep(2 * lentLately) // what was lent came back or is used
-		later := m.use(ctx, names(HoldersMost, size), 2*time.Second)
+		later := m.use(ctx, names(MaxHolders, size), 2*time.Second)
 		c.Assert(later.served, qt.Equals, paid/1000-first.served)
 		c.Assert(later.refused[ErrExhausted] > 100, qt.IsTrue, qt.Commentf("%v", later.refused))
 		c.Assert(later.longest < 60*time.Millisecond, qt.IsTrue, qt.Commentf("a refusal after %v", later.longest))
@@ -250,20 +250,20 @@
 	k.round(context.Background(), true)
 	k.readAt = b.steady
 	k.o.Budgets = func() map[string]int64 { return nil }
-	c.Assert(k.Lend("harbour", 1_000, "waiter").Short, qt.Equals, StoreAway)
+	c.Assert(k.Lend("harbour", 1_000, "waiter").Short, qt.Equals, StoreUnreachable)
 }
 
 // Guards against a draw a request where the store refuses all holders of an account.
 func TestLastResortIsBounded(t *testing.T) {
 	const size = 48
-	play(t, size, HoldersMost, 1_000_000_000, func(ctx context.Context, m *members) {
+	play(t, size, MaxHolders, 1_000_000_000, func(ctx context.Context, m *members) {
 		c := qt.New(t)
 		const long = 4 * time.Second
-		m.use(ctx, names(HoldersMost, size), long)
+		m.use(ctx, names(MaxHolders, size), long)
 		// Draws are half a second apart at the least; each may lose a race and be followed by
 		// the return of its rest.
 		most := 3 * int64(long/(lastResort/2))
-		for _, name := range names(HoldersMost, size) {
+		for _, name := range names(MaxHolders, size) {
 			writes := m.stores[name].writes.Load()
 			c.Assert(writes <= most, qt.IsTrue, qt.Commentf("%d writes by %s", writes, name))
 		}
--- a/internal/escrow/keeper.go
+++ b/internal/escrow/keeper.go
@@ -47,7 +47,7 @@
 	// that costs some draws more, nothing else.
 	Home func(account string) string
 	// Holders are the home and those that hold instead of it while it has no contact with
-	// the store, in their order: HoldersMost at the most, empty for this one.
+	// the store, in their order: MaxHolders at the most, empty for this one.
 	Holders func(account string) []string
 	Peers   Peers
 }
--- a/internal/escrow/keeper_test.go
+++ b/internal/escrow/keeper_test.go
@@ -154,7 +154,7 @@
 	reservation, err := k.Reserve(context.Background(), "boatyard", 9_000)
 	c.Assert(err, qt.IsNil)
 	reservation.Settle(7_000)
-	c.Assert(k.Return(context.Background()), qt.IsNil)
+	c.Assert(k.ReturnGrants(context.Background()), qt.IsNil)
 	c.Assert(b.record(c).Given(), qt.Equals, int64(7_000))
 }
 
--- a/internal/escrow/lend.go
+++ b/internal/escrow/lend.go
@@ -57,21 +57,21 @@
 // drawForLoan draws what a loan lacks, and says why it still does.
 func (m *GrantManager) drawForLoan(h *hold) Shortage {
 	if h.missing == 0 {
-		return None
+		return NoShortage
 	}
 	if _, known := m.o.Budgets()[h.grant.account]; !known {
-		return StoreAway // started a moment ago, without a configuration: it can't tell
+		return StoreUnreachable // started a moment ago, without a configuration: it can't tell
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), lendPatience)
 	defer cancel()
 	err := m.draw(ctx, h)
 	if err == nil {
-		return None
+		return NoShortage
 	}
 	m.o.Log.Emit(event.LoanShort, slog.String(event.KeyBudget, h.grant.account), slog.Int64("missing", h.missing), slog.Any(event.KeyCause, err))
 	short := shortageOf(err)
-	if short == StoreAway && !m.isAway() {
-		return Drawing
+	if short == StoreUnreachable && !m.isAway() {
+		return DrawPending
 	}
 	return short
 }
@@ -165,10 +165,10 @@
 	m.give(ctx, address, left)
 }
 
-// Leave says that this router is about to stop: it takes no tokens of others any more.
+// StopAccepting says that this router is about to stop: it takes no tokens of others any more.
 // Where several stop at once, each may hold another one for the new home; what they hand
 // to each other then is lost, since only what a router was granted itself is returned.
-func (m *GrantManager) Leave() {
+func (m *GrantManager) StopAccepting() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.leaving = true
--- a/internal/escrow/outage_test.go
+++ b/internal/escrow/outage_test.go
@@ -114,7 +114,7 @@
 	p := k.grant("boatyard")
 	p.granted, p.allowed.Ceiling = 100_000, 100_000
 	p.record = newRecord().With("vm", "p3", Figure{Seq: 1, Granted: 100_000}, nil)
-	c.Assert(k.Lend("boatyard", 95_000, "waiter").Short, qt.Equals, None)
+	c.Assert(k.Lend("boatyard", 95_000, "waiter").Short, qt.Equals, NoShortage)
 	c.Assert(reserveError(k), qt.Equals, ErrContended, qt.Commentf("lent a moment ago"))
 	b.steady += 3 * lentLately
 	k.readAt = b.steady
@@ -165,7 +165,7 @@
 	record.ClosedSpent = 900
 	b.store.Put("budget/account/boatyard", record.Encode())
 	c.Assert(k.read(context.Background()), qt.IsTrue)
-	c.Assert(k.Lend("boatyard", 500, "waiter").Short, qt.Equals, UsedUp)
+	c.Assert(k.Lend("boatyard", 500, "waiter").Short, qt.Equals, Exhausted)
 }
 
 // standbyPeers can't reach the home; the standby gives all.
@@ -179,7 +179,7 @@
 	if address == "standby" {
 		return Loan{Tokens: tokens}
 	}
-	return Loan{Short: NotReached}
+	return Loan{Short: PeerUnreachable}
 }
 
 // Guards against draws by all routers while a home is dead and still listed.
--- a/internal/escrow/stop.go
+++ b/internal/escrow/stop.go
@@ -10,9 +10,9 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Return gives all unspent grants back, at a planned stop. Requests that still
+// ReturnGrants gives all unspent grants back, at a planned stop. Requests that still
 // run keep their reservations out of it; they count as spent.
-func (m *GrantManager) Return(ctx context.Context) error {
+func (m *GrantManager) ReturnGrants(ctx context.Context) error {
 	m.mu.Lock()
 	m.stopped = true
 	away := m.away
--- a/internal/escrow/world_test.go
+++ b/internal/escrow/world_test.go
@@ -87,7 +87,7 @@
 type noPeers struct{}
 
 func (noPeers) BorrowFrom(context.Context, string, string, int64, string) Loan {
-	return Loan{Short: NotReached}
+	return Loan{Short: PeerUnreachable}
 }
 func (noPeers) Borrow(context.Context, string, int64) (int64, int64)    { return 0, 0 }
 func (noPeers) HandOver(context.Context, string, map[string]int64) bool { return false }
@@ -253,7 +253,7 @@
 		w.consumed[reservation.grant.account] += reservation.tokens
 		reservation.Settle(reservation.tokens)
 	}
-	_ = r.keeper.Return(context.Background()) // an outage keeps it from returning
+	_ = r.keeper.ReturnGrants(context.Background()) // an outage keeps it from returning
 	w.start(r)
 }
 
@@ -330,7 +330,7 @@
 			from.keeper.TakeBack(account, loan.Tokens)
 		}
 	}
-	return Loan{Short: NotReached}
+	return Loan{Short: PeerUnreachable}
 }
 
 // useUp is use at one router until all is granted, and what it gathers then from others.
--- a/internal/node/homes.go
+++ b/internal/node/homes.go
@@ -44,15 +44,15 @@
 		rank    float64
 		address string
 	}
-	first := make([]candidate, 0, escrow.HoldersMost+1)
+	first := make([]candidate, 0, escrow.MaxHolders+1)
 	take := func(m fleet.Member, address string) {
 		rank := m.Rank(key)
 		at := sort.Search(len(first), func(i int) bool { return first[i].rank > rank })
-		if at == escrow.HoldersMost {
+		if at == escrow.MaxHolders {
 			return
 		}
 		first = slices.Insert(first, at, candidate{rank, address})
-		first = first[:min(len(first), escrow.HoldersMost)]
+		first = first[:min(len(first), escrow.MaxHolders)]
 	}
 	if !stopping {
 		take(n.self(), "")
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -23,7 +23,7 @@
 	began := time.Now()
 	n.stoppedAt.Store(began.UnixMilli())
 	n.stopping.Store(true)
-	n.keeper.Leave()
+	n.keeper.StopAccepting()
 	close(n.stopNotice)
 	n.log.Emit(event.DrainStarted, slog.Int64("in_hand", n.inHand.Load()))
 	end := began.Add(n.settings.GracePeriod - returnTime)
@@ -36,7 +36,7 @@
 	n.refuseAll(end)
 	ctx, cancel := context.WithTimeout(context.Background(), returnTime/2)
 	defer cancel()
-	if err := n.keeper.Return(ctx); err != nil {
+	if err := n.keeper.ReturnGrants(ctx); err != nil {
 		n.log.Emit(event.DrawFailed, slog.Any(event.KeyCause, err))
 		n.handOver()
 	}
--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -91,11 +91,11 @@
 // request in its queue.
 func (c *Client) BorrowFrom(ctx context.Context, address, account string, tokens int64, waiter string) escrow.Loan {
 	if c.avoiding(address) {
-		return escrow.Loan{Short: escrow.NotReached}
+		return escrow.Loan{Short: escrow.PeerUnreachable}
 	}
 	loan, err := c.lend(ctx, address, account, tokens, waiter)
 	if err != nil {
-		return escrow.Loan{Short: escrow.NotReached}
+		return escrow.Loan{Short: escrow.PeerUnreachable}
 	}
 	return escrow.Loan{Tokens: loan.Tokens, Used: loan.Used, Spent: loan.Spent, Short: loan.Short}
 }
--- a/internal/peers/silence_test.go
+++ b/internal/peers/silence_test.go
@@ -48,7 +48,7 @@
 	go func() { left <- c.BorrowFrom(ctx, home, "a", 5, heldWaiter) }()
 	<-h.asked
 	leave()
-	qt.Assert(t, (<-left).Short, qt.Equals, escrow.NotReached)
+	qt.Assert(t, (<-left).Short, qt.Equals, escrow.PeerUnreachable)
 	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, "next").Tokens, qt.Equals, int64(5))
 	close(h.let)
 	qt.Assert(t, (<-waits).Tokens, qt.Equals, int64(5))
@@ -63,7 +63,7 @@
 	go func() { late <- c.BorrowFrom(context.Background(), home, "a", 5, heldWaiter) }()
 	<-h.asked
 	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, "other").Tokens, qt.Equals, int64(5))
-	qt.Assert(t, (<-late).Short, qt.Equals, escrow.NotReached)
+	qt.Assert(t, (<-late).Short, qt.Equals, escrow.PeerUnreachable)
 	qt.Assert(t, c.avoiding(home), qt.IsFalse)
 	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, "next").Tokens, qt.Equals, int64(5))
 }
@@ -74,6 +74,6 @@
 	defer close(h.let)
 	c := NewClient("p1", func() []string { return nil }, event.Discard())
 	go func() { <-h.asked }()
-	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, heldWaiter).Short, qt.Equals, escrow.NotReached)
+	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, heldWaiter).Short, qt.Equals, escrow.PeerUnreachable)
 	qt.Assert(t, c.avoiding(home), qt.IsTrue)
 }
--- a/internal/peers/wire_test.go
+++ b/internal/peers/wire_test.go
@@ -19,13 +19,13 @@
 		meaning string
 		value   int
 	}{
-		{"nothing missing", int(escrow.None)},
-		{"peer not reached", int(escrow.NotReached)},
-		{"draw under way", int(escrow.Drawing)},
-		{"store unreachable", int(escrow.StoreAway)},
-		{"held by others", int(escrow.Held)},
+		{"nothing missing", int(escrow.NoShortage)},
+		{"peer not reached", int(escrow.PeerUnreachable)},
+		{"draw under way", int(escrow.DrawPending)},
+		{"store unreachable", int(escrow.StoreUnreachable)},
+		{"held by others", int(escrow.HeldElsewhere)},
 		{"in doubt", int(escrow.InDoubt)},
-		{"used up", int(escrow.UsedUp)},
+		{"used up", int(escrow.Exhausted)},
 	} {
 		lines = append(lines, fmt.Sprintf("Short %d: %s", v.value, v.meaning))
 	}
