--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -36,18 +36,20 @@
 // cacheKept is how long a server is taken to keep a part after its last use.
 const cacheKept = 20 * time.Second
 
-// Pacer bounds what servers are sent that bear few requests.
+// Pacer limits the requests sent to servers that are cold or announce a rate limit.
 type Pacer interface {
-	// Bounded says whether a server bears few requests now.
-	Bounded(*fleet.Server) bool
-	// Room says whether Take would allow one more to such a server.
-	Room(*fleet.Server) bool
-	// Take asks for one, which is counted if it is allowed.
-	Take(*fleet.Server) bool
-	// Due says whether one is to be sent whatever speaks for another server.
-	Due(*fleet.Server) bool
-	// Wait is the time after which one more makes sense.
-	Wait(*fleet.Server) time.Duration
+	// Paced reports whether requests to a server are limited now.
+	Paced(*fleet.Server) bool
+	// CanAcquire reports whether TryAcquire would allow a request to a paced server.
+	CanAcquire(*fleet.Server) bool
+	// TryAcquire counts a request to a paced server and returns true, or returns false if
+	// the request may not be sent.
+	TryAcquire(*fleet.Server) bool
+	// ProbeDue reports whether the next request should go to a server whatever its estimate,
+	// to learn whether the server still announces its limit.
+	ProbeDue(*fleet.Server) bool
+	// RetryAfter returns the time after which another request to a paced server makes sense.
+	RetryAfter(*fleet.Server) time.Duration
 }
 
 // Chooser chooses servers. It is safe for concurrent use.
@@ -89,8 +91,8 @@
 // that bear few requests only within their bound.
 func (c *Chooser) Choose(servers []*fleet.Server, r *request.Request, excluded func(*fleet.Server) bool) Choice {
 	home := c.homeOf(servers, r.SharedPart())
-	best := c.best(servers, r, home, excluded, c.pacer.Room)
-	if best.bounded && !c.pacer.Take(best.Server) {
+	best := c.best(servers, r, home, excluded, c.pacer.CanAcquire)
+	if best.bounded && !c.pacer.TryAcquire(best.Server) {
 		none := func(*fleet.Server) bool { return false }
 		return c.best(servers, r, home, excluded, none) // another request took the place meanwhile
 	}
@@ -105,7 +107,7 @@
 		if s.Closed() || excluded(s) {
 			continue
 		}
-		bounded := c.pacer.Bounded(s)
+		bounded := c.pacer.Paced(s)
 		if bounded && !room(s) {
 			continue
 		}
@@ -130,7 +132,7 @@
 	switch {
 	case s.ColdFor(now) > 0:
 		return coldMs
-	case c.pacer.Due(s):
+	case c.pacer.ProbeDue(s):
 		return -dueMs
 	}
 	return 0
@@ -206,7 +208,7 @@
 	var home *fleet.Server
 	var highest uint64
 	for _, s := range servers {
-		if s.Closed() || c.pacer.Bounded(s) {
+		if s.Closed() || c.pacer.Paced(s) {
 			continue
 		}
 		if rank := xxhash.Sum64String(part + "/" + s.ID); home == nil || rank > highest {
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -104,27 +104,27 @@
 // warm bounds nothing: no server is cold.
 type warm struct{}
 
-func (warm) Bounded(*fleet.Server) bool       { return false }
-func (warm) Room(*fleet.Server) bool          { return true }
-func (warm) Take(*fleet.Server) bool          { return true }
-func (warm) Due(*fleet.Server) bool           { return false }
-func (warm) Wait(*fleet.Server) time.Duration { return 0 }
+func (warm) Paced(*fleet.Server) bool               { return false }
+func (warm) CanAcquire(*fleet.Server) bool          { return true }
+func (warm) TryAcquire(*fleet.Server) bool          { return true }
+func (warm) ProbeDue(*fleet.Server) bool            { return false }
+func (warm) RetryAfter(*fleet.Server) time.Duration { return 0 }
 
 // permits is how many requests each cold server may get.
 type permits map[*fleet.Server]int
 
-func (p permits) Bounded(s *fleet.Server) bool {
+func (p permits) Paced(s *fleet.Server) bool {
 	_, cold := p[s]
 	return cold
 }
 
-func (p permits) Room(s *fleet.Server) bool { return p[s] > 0 }
+func (p permits) CanAcquire(s *fleet.Server) bool { return p[s] > 0 }
 
-func (p permits) Due(*fleet.Server) bool { return false }
+func (p permits) ProbeDue(*fleet.Server) bool { return false }
 
-func (p permits) Wait(s *fleet.Server) time.Duration { return s.ColdFor(time.Now()) }
+func (p permits) RetryAfter(s *fleet.Server) time.Duration { return s.ColdFor(time.Now()) }
 
-func (p permits) Take(s *fleet.Server) bool {
+func (p permits) TryAcquire(s *fleet.Server) bool {
 	p[s]--
 	return p[s] >= 0
 }
@@ -158,7 +158,7 @@
 // lost refuses what it promised: another request was faster.
 type lost struct{ permits }
 
-func (lost) Take(*fleet.Server) bool { return false }
+func (lost) TryAcquire(*fleet.Server) bool { return false }
 
 // Guards against refusals that wait, or name a wrong reason, where nothing can be sent.
 func TestObstacles(t *testing.T) {
--- a/internal/balance/obstacle.go
+++ b/internal/balance/obstacle.go
@@ -45,12 +45,12 @@
 			if out.Obstacle == NoServers {
 				out.Obstacle = AllEvacuated
 			}
-		case !c.pacer.Bounded(s):
+		case !c.pacer.Paced(s):
 			return Outlook{}
-		case c.pacer.Room(s):
+		case c.pacer.CanAcquire(s):
 			out.Scarce = true
 		default:
-			wait := c.pacer.Wait(s)
+			wait := c.pacer.RetryAfter(s)
 			if !bounded || wait < out.Wait {
 				out.Wait = wait
 			}
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -53,7 +53,7 @@
 		server.Report(reply.Load, time.Now())
 	}
 	server.Chill(time.Now(), reply.Cold)
-	t.f.RateLimits.Answered(server, reply.RateLimit, t.sentAt)
+	t.f.RateLimits.ObserveResponse(server, reply.RateLimit, t.sentAt)
 	if reply.NotExecuted || reply.Status == http.StatusMisdirectedRequest {
 		return t.rejectedBy(server, reply)
 	}
@@ -106,7 +106,7 @@
 // suspect counts a server that broke while it ran the request. Some requests crash
 // every server that begins to run them, and callers send them again.
 func (t *task) suspect() {
-	if retry.Due(t.f.Quarantine.Broke(t.content)) {
+	if retry.StartsQuarantine(t.f.Quarantine.RecordCrash(t.content)) {
 		t.f.Log.Emit(event.RequestQuarantined, slog.String(event.KeyRequest, t.r.ID), slog.Uint64("content", t.content))
 		t.f.Report(t.content)
 	}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -71,7 +71,7 @@
 	// RateLimits takes what servers say of the requests that they take.
 	RateLimits *pacing.Limits
 	// Yield keeps places at servers that bear few requests for urgent ones.
-	Yield   *pacing.Yield
+	Yield   *pacing.PriorityGate
 	Backend Exchanger
 	// Limits holds accounts to their contracts.
 	Limits  *limit.Limiter
@@ -93,7 +93,7 @@
 		return
 	}
 	defer done()
-	f.Retries.Request(r.Service)
+	f.Retries.RecordRequest(r.Service)
 	if refusal := f.obstacle(r); refusal != nil {
 		f.refuse(r, caller, *refusal, p, nil)
 		return
@@ -131,7 +131,7 @@
 	if p.Limits.BodyBytes > 0 && int64(len(r.Body)) > p.Limits.BodyBytes {
 		return TooLarge
 	}
-	if f.Quarantine.Held(contentOf(r)) {
+	if f.Quarantine.Contains(contentOf(r)) {
 		return Quarantined
 	}
 	roll := float64(xxhash.Sum64String(r.ID)>>11) / (1 << 53)
@@ -145,7 +145,7 @@
 	out := f.Chooser.Outlook(f.Servers(r.Service))
 	switch out.Obstacle {
 	case balance.Free:
-		if out.Scarce && f.Yield.Must(r.Service, r.Urgency()) {
+		if out.Scarce && f.Yield.ShouldYield(r.Service, r.Urgency()) {
 			return &Refusal{Cause: Limited, RetryAfter: retryLater}
 		}
 	case balance.NoServers:
@@ -153,10 +153,10 @@
 	case balance.AllEvacuated:
 		return &Refusal{Cause: Evacuated, RetryAfter: retryLater}
 	case balance.AllCold:
-		f.Yield.Refused(r.Service, r.Urgency())
+		f.Yield.RecordRefusal(r.Service, r.Urgency())
 		return &Refusal{Cause: Cold, RetryAfter: max(retrySoon, out.Wait)}
 	case balance.AllLimited:
-		f.Yield.Refused(r.Service, r.Urgency())
+		f.Yield.RecordRefusal(r.Service, r.Urgency())
 		return &Refusal{Cause: Limited, RetryAfter: max(retrySoon, out.Wait)}
 	}
 	return nil
@@ -169,7 +169,7 @@
 		return func() {}, nil
 	}
 	c := r.Account.Contract
-	done, wait, ok := f.Limits.Admit(r.Account.Name, limit.Limits{PerSecond: c.RequestsPerSecond, Burst: c.Burst, AtOnce: c.Concurrency})
+	done, wait, ok := f.Limits.Admit(r.Account.Name, limit.Limits{PerSecond: c.RequestsPerSecond, Burst: c.Burst, Concurrency: c.Concurrency})
 	if !ok {
 		return nil, &Refusal{Cause: TooMany, RetryAfter: wait}
 	}
--- a/internal/forward/task.go
+++ b/internal/forward/task.go
@@ -134,10 +134,10 @@
 
 // mayRepeat says whether the request may be sent once more, and counts it.
 func (t *task) mayRepeat(why string) bool {
-	if t.sends >= t.r.Route.Attempts || t.f.Quarantine.Held(t.content) {
+	if t.sends >= t.r.Route.Attempts || t.f.Quarantine.Contains(t.content) {
 		return false
 	}
-	if !t.f.Retries.Take(t.r.Service) {
+	if !t.f.Retries.TryAcquire(t.r.Service) {
 		return false
 	}
 	t.f.Metrics.Repeated(why)
--- a/internal/forward/watchdog.go
+++ b/internal/forward/watchdog.go
@@ -44,7 +44,7 @@
 	retries, service, metrics := t.f.Retries, t.r.Service, t.f.Metrics
 	w.timer = time.AfterFunc(first, func() {
 		// Only a repeat that is allowed makes it right to give this attempt up.
-		if !retries.Take(service) {
+		if !retries.TryAcquire(service) {
 			return
 		}
 		metrics.Repeated("stalled")
--- a/internal/node/bootstrap.go
+++ b/internal/node/bootstrap.go
@@ -49,7 +49,7 @@
 	n.registry.Seed(known.Servers)
 	n.members.Seed(known.Members)
 	for _, item := range known.Limits {
-		n.limits.Learn(item)
+		n.limits.ApplyRecord(item)
 	}
 	n.log.Emit(event.Bootstrapped, slog.String("from", address), slog.Int("servers", len(known.Servers)), slog.Int("routers", len(known.Members)))
 	return true
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -142,7 +142,7 @@
 func (s *fleetSink) Reset(items []store.Item, silence store.Silence) {
 	var members []store.Item
 	for _, item := range items {
-		if !s.node.holdBroken(item.Key) && !s.node.limits.Learn(item) {
+		if !s.node.holdBroken(item.Key) && !s.node.limits.ApplyRecord(item) {
 			members = append(members, item)
 		}
 	}
@@ -154,7 +154,7 @@
 func (s *fleetSink) Apply(events []store.Event, silence store.Silence) {
 	var members []store.Event
 	for _, e := range events {
-		if e.Deleted || !s.node.holdBroken(e.Key) && !s.node.limits.Learn(e.Item) {
+		if e.Deleted || !s.node.holdBroken(e.Key) && !s.node.limits.ApplyRecord(e.Item) {
 			members = append(members, e)
 		}
 	}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -35,7 +35,7 @@
 	sweep := time.NewTicker(limitsSweep)
 	defer sweep.Stop()
 	for {
-		record, wait := n.limits.Next(n.placeFor)
+		record, wait := n.limits.NextWrite(n.placeFor)
 		if record != nil {
 			w.write(ctx, *record)
 			continue
@@ -48,7 +48,7 @@
 		case <-ctx.Done():
 			return
 		case <-sweep.C:
-			n.limits.Forget(n.registry.Has)
+			n.limits.Prune(n.registry.Has)
 		case <-n.limits.Wake():
 		case <-due:
 		}
@@ -65,7 +65,7 @@
 		w.lease = 0
 	}
 	attrs := []slog.Attr{slog.String(event.KeyBackend, fleet.IDOfStart(record.Start)), slog.Float64("per_second", record.PerSecond),
-		slog.Bool("over", record.Over)}
+		slog.Bool("over", record.Ended)}
 	if err != nil {
 		w.node.log.Emit(event.LimitUnrecorded, append(attrs, slog.Any(event.KeyCause, err))...)
 		return
--- a/internal/node/warm.go
+++ b/internal/node/warm.go
@@ -74,25 +74,25 @@
 
 // placeFor is this router's rank among all that send to a server that bears few requests, by
 // the server's start.
-func (n *Node) placeFor(start string) pacing.Place {
+func (n *Node) placeFor(start string) pacing.Rank {
 	if n.stopping.Load() || !n.listing.sure(n.now()) {
-		return pacing.Place{}
+		return pacing.Rank{}
 	}
 	members, version := n.members.Listed()
-	return n.places.get(rankedFrom{version: version}, start, func() pacing.Place { return n.place(members, "sends to "+start) })
+	return n.places.get(rankedFrom{version: version}, start, func() pacing.Rank { return n.place(members, "sends to "+start) })
 }
 
 // place works out this router's rank for a key.
-func (n *Node) place(members []fleet.Member, key string) pacing.Place {
-	place := pacing.Place{Of: 1, Sure: true}
+func (n *Node) place(members []fleet.Member, key string) pacing.Rank {
+	place := pacing.Rank{Total: 1, Valid: true}
 	own := n.self().Rank(key)
 	for _, m := range members {
 		if m.Name == n.settings.VM || m.Peer == "" {
 			continue
 		}
-		place.Of++
+		place.Total++
 		if m.Rank(key) < own {
-			place.Ahead++
+			place.Position++
 		}
 	}
 	return place
--- a/internal/node/warm_test.go
+++ b/internal/node/warm_test.go
@@ -48,7 +48,7 @@
 // isFirst says whether a router takes itself for the first in rank for a server.
 func isFirst(n *Node, server string) bool {
 	place := n.placeFor(server)
-	return place.Sure && place.Ahead == 0
+	return place.Valid && place.Position == 0
 }
 
 // senders are the routers that take themselves for the one that sends to a cold server.
--- a/internal/pacing/cold_test.go
+++ b/internal/pacing/cold_test.go
@@ -24,7 +24,7 @@
 		}
 		clock := func() time.Time { return *now }
 		list[i] = &Limiter{ColdRate: func(string) float64 { return testRate }, Limits: NewLimits(event.Discard(), clock), Now: clock,
-			Place: func(string) Place { return Place{Ahead: ahead, Of: n, Sure: true} }}
+			Rank: func(string) Rank { return Rank{Position: ahead, Total: n, Valid: true} }}
 	}
 	return list
 }
@@ -62,7 +62,7 @@
 				for range 500 {
 					now = now.Add(7 * time.Millisecond)
 					for _, l := range list {
-						if l.Bounded(server) && l.Take(server) {
+						if l.Paced(server) && l.TryAcquire(server) {
 							sent = append(sent, now)
 						}
 					}
@@ -80,12 +80,12 @@
 	now := time.Unix(1000, 0)
 	l := routers(1, &now, nil)[0]
 	server := cold(now, time.Second)
-	qt.Assert(t, l.Bounded(server), qt.IsTrue)
-	qt.Assert(t, l.Room(server), qt.IsFalse)
+	qt.Assert(t, l.Paced(server), qt.IsTrue)
+	qt.Assert(t, l.CanAcquire(server), qt.IsFalse)
 	now = now.Add(time.Second)
-	qt.Assert(t, l.Bounded(server), qt.IsFalse)
+	qt.Assert(t, l.Paced(server), qt.IsFalse)
 	l.ColdRate = func(string) float64 { return 0 }
-	qt.Assert(t, l.Bounded(cold(now, time.Second)), qt.IsFalse)
+	qt.Assert(t, l.Paced(cold(now, time.Second)), qt.IsFalse)
 }
 
 // Room asks without counting, Take counts, and nothing is kept of servers that get nothing.
@@ -94,12 +94,12 @@
 	l := routers(1, &now, map[int]bool{0: true})[0]
 	server := cold(now, time.Minute)
 	taken := 0
-	for l.Room(server) && l.Take(server) {
+	for l.CanAcquire(server) && l.TryAcquire(server) {
 		taken++
 	}
 	qt.Assert(t, taken, qt.Equals, 7)
-	qt.Assert(t, l.Take(server), qt.IsFalse)
+	qt.Assert(t, l.TryAcquire(server), qt.IsFalse)
 	now = now.Add(coldWindow)
-	qt.Assert(t, l.Room(server), qt.IsTrue)
+	qt.Assert(t, l.CanAcquire(server), qt.IsTrue)
 	qt.Assert(t, l.cold, qt.HasLen, 0)
 }
--- a/internal/pacing/fleet_test.go
+++ b/internal/pacing/fleet_test.go
@@ -56,8 +56,8 @@
 func (w *world) firstInRank() *simRouter {
 	best, ahead := w.routers[0], len(w.routers)
 	for _, r := range w.routers {
-		if p := w.place(r); r.alive && p.Sure && p.Ahead < ahead {
-			best, ahead = r, p.Ahead
+		if p := w.place(r); r.alive && p.Valid && p.Position < ahead {
+			best, ahead = r, p.Position
 		}
 	}
 	return best
@@ -111,8 +111,8 @@
 	w.name(1.2)
 	w.run(8 * time.Second)
 	for _, r := range w.routers {
-		if place := w.place(r); place.Ahead < senders(1.2) {
-			r.limiter.Place = func(string) Place { return Place{} } // it never asks
+		if place := w.place(r); place.Position < senders(1.2) {
+			r.limiter.Rank = func(string) Rank { return Rank{} } // it never asks
 		}
 	}
 	w.name(-1)
@@ -141,7 +141,7 @@
 		w.asks = 1
 		w.name(perSecond)
 		w.run(12 * time.Second)
-		old := func(r *simRouter) bool { return w.place(r).Ahead < senders(perSecond) }
+		old := func(r *simRouter) bool { return w.place(r).Position < senders(perSecond) }
 		for _, r := range w.routers {
 			r.lag = 0
 			if old(r) {
--- a/internal/pacing/limiter.go
+++ b/internal/pacing/limiter.go
@@ -41,12 +41,12 @@
 	waitMost = 10 * time.Second
 )
 
-// Place is where this router stands among all routers for a server.
-type Place struct {
-	Ahead int // routers before it in rank
-	Of    int // routers in rank
-	// Sure: all other routers know this one, and this one them, as of late.
-	Sure bool
+// Rank is where this router stands among all routers for a server.
+type Rank struct {
+	Position int // routers before it in rank
+	Total    int // routers in rank
+	// Valid: all other routers know this one, and this one them, as of late.
+	Valid bool
 }
 
 // Limiter decides whether this router may send a request to a server that bears few. It is
@@ -54,8 +54,8 @@
 type Limiter struct {
 	// ColdRate is the requests a second that a cold server of a service bears; 0: no bound.
 	ColdRate func(service string) float64
-	// Place is this router's rank for a server, by the server's start.
-	Place func(start string) Place
+	// Rank is this router's rank for a server, by the server's start.
+	Rank func(start string) Rank
 	// Limits are those that servers named.
 	Limits *Limits
 	// Now is the clock.
@@ -69,36 +69,36 @@
 
 // placeAt is a rank and when it was looked up.
 type placeAt struct {
-	Place
+	Rank
 	at time.Time
 }
 
 // Bounded says whether a server bears few requests now.
-func (l *Limiter) Bounded(s *fleet.Server) bool {
-	if _, limited := l.Limits.Of(s.Start); limited {
+func (l *Limiter) Paced(s *fleet.Server) bool {
+	if _, limited := l.Limits.Lookup(s.Start); limited {
 		return true
 	}
 	return l.isCold(s)
 }
 
 // Room says whether Take would allow a request to a bounded server.
-func (l *Limiter) Room(s *fleet.Server) bool {
+func (l *Limiter) CanAcquire(s *fleet.Server) bool {
 	return l.permit(s, false)
 }
 
 // Take asks for one request to a bounded server. It is counted if it is allowed.
-func (l *Limiter) Take(s *fleet.Server) bool {
+func (l *Limiter) TryAcquire(s *fleet.Server) bool {
 	return l.permit(s, true)
 }
 
 // permit says whether a request is allowed, and counts it if it is to be taken.
 func (l *Limiter) permit(s *fleet.Server, take bool) bool {
 	now, cold := l.Now(), l.isCold(s)
-	limit, limited := l.Limits.Of(s.Start)
+	limit, limited := l.Limits.Lookup(s.Start)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	place := l.place(s.Start, now)
-	if cold && !(place.Sure && place.Ahead == 0 && l.coldRoom(s, now)) {
+	if cold && !(place.Valid && place.Position == 0 && l.coldRoom(s, now)) {
 		return false
 	}
 	var b *bucket
@@ -120,8 +120,8 @@
 
 // Due says whether a limited server is to be asked for its limit by the next request that
 // can go there.
-func (l *Limiter) Due(s *fleet.Server) bool {
-	limit, limited := l.Limits.Of(s.Start)
+func (l *Limiter) ProbeDue(s *fleet.Server) bool {
+	limit, limited := l.Limits.Lookup(s.Start)
 	if !limited {
 		return false
 	}
@@ -133,13 +133,13 @@
 }
 
 // Wait is the time after which another request to a bounded server makes sense.
-func (l *Limiter) Wait(s *fleet.Server) time.Duration {
+func (l *Limiter) RetryAfter(s *fleet.Server) time.Duration {
 	now := l.Now()
 	wait := time.Duration(0)
 	if l.isCold(s) {
 		wait = s.ColdFor(now)
 	}
-	limit, limited := l.Limits.Of(s.Start)
+	limit, limited := l.Limits.Lookup(s.Start)
 	if !limited {
 		return wait
 	}
@@ -154,17 +154,17 @@
 }
 
 // place is this router's rank as of a moment ago; the limiter is locked.
-func (l *Limiter) place(start string, now time.Time) Place {
+func (l *Limiter) place(start string, now time.Time) Rank {
 	known, found := l.places[start]
 	if found && now.Sub(known.at) < placeKept {
-		return known.Place
+		return known.Rank
 	}
 	if l.places == nil || len(l.places) >= limitsMost {
 		l.places = make(map[string]placeAt)
 	}
-	known = placeAt{Place: l.Place(start), at: now}
+	known = placeAt{Rank: l.Rank(start), at: now}
 	l.places[start] = known
-	return known.Place
+	return known.Rank
 }
 
 // senders is how many routers send to a server with a limit, each its part of the limit. With
@@ -177,19 +177,19 @@
 
 // isSender says whether this router is one of those that send to a limited server. It never
 // is before the limit is recorded, since the routers take turns by the age of the record.
-func (l *Limiter) isSender(limit Limit, place Place, now time.Time) bool {
-	if !place.Sure || limit.Recorded.IsZero() {
+func (l *Limiter) isSender(limit Limit, place Rank, now time.Time) bool {
+	if !place.Valid || limit.RecordedAt.IsZero() {
 		return false
 	}
 	n := senders(limit.PerSecond)
-	turn := int(now.Sub(limit.Recorded) / turnLength)
-	first := turn * n % place.Of
-	return (place.Ahead-first+place.Of)%place.Of < n
+	turn := int(now.Sub(limit.RecordedAt) / turnLength)
+	first := turn * n % place.Total
+	return (place.Position-first+place.Total)%place.Total < n
 }
 
 // bucket returns the allowance of a limited server as of now; nil: this router sends it
 // nothing. The limiter is locked.
-func (l *Limiter) bucket(start string, limit Limit, place Place, now time.Time) *bucket {
+func (l *Limiter) bucket(start string, limit Limit, place Rank, now time.Time) *bucket {
 	if !l.isSender(limit, place, now) {
 		delete(l.buckets, start)
 		return nil
@@ -200,7 +200,7 @@
 		b = &bucket{at: now, since: now}
 		l.buckets[start] = b
 	}
-	n := min(senders(limit.PerSecond), place.Of)
+	n := min(senders(limit.PerSecond), place.Total)
 	b.refill(max(limit.PerSecond, leastPerSecond)/float64(n), now)
 	return b
 }
@@ -211,7 +211,7 @@
 		l.buckets = make(map[string]*bucket)
 	}
 	for start := range l.buckets {
-		if _, limited := l.Limits.Of(start); !limited {
+		if _, limited := l.Limits.Lookup(start); !limited {
 			delete(l.buckets, start)
 		}
 	}
--- a/internal/pacing/limits.go
+++ b/internal/pacing/limits.go
@@ -33,8 +33,8 @@
 // Limit is a server's limit as this router knows it.
 type Limit struct {
 	PerSecond float64
-	// Recorded is when the fleet's record of it became known here; zero: there is none yet.
-	Recorded time.Time
+	// RecordedAt is when the fleet's record of it became known here; zero: there is none yet.
+	RecordedAt time.Time
 }
 
 // Limits is what this router knows of the limits that backend servers name in their
@@ -79,8 +79,8 @@
 	return l
 }
 
-// Of returns the limit in force of a server, by its start.
-func (l *Limits) Of(start string) (Limit, bool) {
+// Lookup returns the limit in force of a server, by its start.
+func (l *Limits) Lookup(start string) (Limit, bool) {
 	view := *l.view.Load()
 	if len(view) == 0 {
 		return Limit{}, false
@@ -94,9 +94,9 @@
 	return len(*l.view.Load())
 }
 
-// Answered takes what an answer to a request says, and when that request was sent.
-func (l *Limits) Answered(s *fleet.Server, said fleet.RateLimit, sent time.Time) {
-	if _, limited := l.Of(s.Start); said.State == fleet.LimitUnreadable || said.State == fleet.LimitAbsent && !limited {
+// ObserveResponse takes what an answer to a request says, and when that request was sent.
+func (l *Limits) ObserveResponse(s *fleet.Server, said fleet.RateLimit, sent time.Time) {
+	if _, limited := l.Lookup(s.Start); said.State == fleet.LimitUnreadable || said.State == fleet.LimitAbsent && !limited {
 		return
 	}
 	l.mu.Lock()
@@ -145,9 +145,9 @@
 		slog.Int64("named_ms", l.now().Sub(last).Milliseconds()))
 }
 
-// Learn takes a record that another router, or this one, wrote. It says whether the item is
+// ApplyRecord takes a record that another router, or this one, wrote. It says whether the item is
 // one.
-func (l *Limits) Learn(item store.Item) bool {
+func (l *Limits) ApplyRecord(item store.Item) bool {
 	if !isRecord(item.Key) {
 		return false
 	}
@@ -177,10 +177,10 @@
 	known.record, known.item, known.recorded = record, item, now
 	heardLately := !known.heard.IsZero() && now.Sub(known.heard) < wordLag
 	switch {
-	case record.Over && !known.over && !heardLately:
+	case record.Ended && !known.over && !heardLately:
 		known.over = true
 		l.logRecord(event.BackendUnlimited, item, record)
-	case !record.Over && !heardLately:
+	case !record.Ended && !heardLately:
 		if known.over || !isSameRate(known.perSecond, record.PerSecond) {
 			l.logRecord(event.BackendLimited, item, record)
 		}
@@ -206,8 +206,8 @@
 	return items
 }
 
-// Forget drops what is known of servers that are not registered any more.
-func (l *Limits) Forget(registered func(start string) bool) {
+// Prune drops what is known of servers that are not registered any more.
+func (l *Limits) Prune(registered func(start string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
@@ -223,7 +223,7 @@
 	view := make(map[string]Limit)
 	for start, known := range l.known {
 		if !known.over {
-			view[start] = Limit{PerSecond: known.perSecond, Recorded: known.recordedSince()}
+			view[start] = Limit{PerSecond: known.perSecond, RecordedAt: known.recordedSince()}
 		}
 	}
 	l.view.Store(&view)
@@ -231,7 +231,7 @@
 
 // recordedSince is when the record of the limit in force became known; zero: there is none.
 func (k *limit) recordedSince() time.Time {
-	if k.record.Over {
+	if k.record.Ended {
 		return time.Time{}
 	}
 	return k.recorded
--- a/internal/pacing/limits_test.go
+++ b/internal/pacing/limits_test.go
@@ -15,7 +15,7 @@
 type fixture struct {
 	*qt.C
 	now     time.Time
-	place   Place
+	place   Rank
 	server  *fleet.Server
 	limits  *Limits
 	limiter *Limiter
@@ -23,24 +23,24 @@
 }
 
 func newFixture(t *testing.T) *fixture {
-	f := &fixture{C: qt.New(t), now: time.Unix(1000, 0), place: Place{Of: 9, Sure: true}, server: fleet.NewServer(fleet.Entry{ID: "s"})}
+	f := &fixture{C: qt.New(t), now: time.Unix(1000, 0), place: Rank{Total: 9, Valid: true}, server: fleet.NewServer(fleet.Entry{ID: "s"})}
 	clock := func() time.Time { return f.now }
 	f.limits = NewLimits(event.Discard(), clock)
-	f.limiter = &Limiter{ColdRate: func(string) float64 { return 0 }, Limits: f.limits, Now: clock, Place: f.rank}
+	f.limiter = &Limiter{ColdRate: func(string) float64 { return 0 }, Limits: f.limits, Now: clock, Rank: f.rank}
 	return f
 }
 
-func (f *fixture) rank(string) Place { return f.place }
+func (f *fixture) rank(string) Rank { return f.place }
 
 // rankAt gives the router another rank, and the time to notice it.
 func (f *fixture) rankAt(ahead int) {
-	f.place.Ahead = ahead
+	f.place.Position = ahead
 	f.pass(placeKept)
 }
 
 // answer is an answer to a request that was sent some time before.
 func (f *fixture) answer(said fleet.RateLimit, took time.Duration) {
-	f.limits.Answered(f.server, said, f.now.Add(-took))
+	f.limits.ObserveResponse(f.server, said, f.now.Add(-took))
 }
 
 func (f *fixture) hear(perSecond float64) {
@@ -55,7 +55,7 @@
 	value, err := r.Encode()
 	f.Assert(err, qt.IsNil)
 	f.written++
-	f.Assert(f.limits.Learn(store.Item{Key: r.Key(), Value: value, Revision: f.written}), qt.IsTrue)
+	f.Assert(f.limits.ApplyRecord(store.Item{Key: r.Key(), Value: value, Revision: f.written}), qt.IsTrue)
 }
 
 // Guards against senders whose turns count from different moments, since each has heard of the limit at its own.
@@ -63,18 +63,18 @@
 	f := newFixture(t)
 	f.hear(1.2)
 	f.pass(time.Minute)
-	f.Assert(f.limiter.Bounded(f.server), qt.IsTrue)
-	for ahead := range f.place.Of {
+	f.Assert(f.limiter.Paced(f.server), qt.IsTrue)
+	for ahead := range f.place.Total {
 		f.rankAt(ahead)
-		f.limiter.Room(f.server)
+		f.limiter.CanAcquire(f.server)
 		f.pass(20 * time.Second)
-		f.Assert(f.limiter.Room(f.server), qt.IsFalse)
+		f.Assert(f.limiter.CanAcquire(f.server), qt.IsFalse)
 	}
 	f.rankAt(0)
 	f.record(Record{PerSecond: 1.2})
-	f.limiter.Room(f.server)
+	f.limiter.CanAcquire(f.server)
 	f.pass(10 * time.Second)
-	f.Assert(f.limiter.Room(f.server), qt.IsTrue)
+	f.Assert(f.limiter.CanAcquire(f.server), qt.IsTrue)
 }
 
 // Guards against a limit that ends by an answer that is older than its begin, or by one answer that lacks it.
@@ -95,21 +95,21 @@
 // Guards against a series of new senders that each have a request saved up.
 func TestNewSenderHasNothingSavedUp(t *testing.T) {
 	f := newFixture(t)
-	f.place.Ahead = 8
+	f.place.Position = 8
 	f.record(Record{PerSecond: 1.2})
 	f.pass(time.Second)
-	f.Assert(f.limiter.Take(f.server), qt.IsFalse)
+	f.Assert(f.limiter.TryAcquire(f.server), qt.IsFalse)
 	f.rankAt(0)
-	f.Assert(f.limiter.Take(f.server), qt.IsFalse)
+	f.Assert(f.limiter.TryAcquire(f.server), qt.IsFalse)
 	f.pass(10 * time.Second)
-	f.Assert(f.limiter.Take(f.server), qt.IsTrue)
-	f.Assert(f.limiter.Take(f.server), qt.IsFalse)
+	f.Assert(f.limiter.TryAcquire(f.server), qt.IsTrue)
+	f.Assert(f.limiter.TryAcquire(f.server), qt.IsFalse)
 	f.pass(10 * time.Second)
 
 	f.rankAt(8)
-	f.Assert(f.limiter.Take(f.server), qt.IsFalse)
+	f.Assert(f.limiter.TryAcquire(f.server), qt.IsFalse)
 	f.rankAt(0)
-	f.Assert(f.limiter.Take(f.server), qt.IsFalse)
+	f.Assert(f.limiter.TryAcquire(f.server), qt.IsFalse)
 }
 
 // Guards against a server that takes nothing being left out for good, or flooded.
@@ -119,7 +119,7 @@
 	taken := 0
 	for range 60 {
 		f.pass(time.Second)
-		if f.limiter.Take(f.server) {
+		if f.limiter.TryAcquire(f.server) {
 			taken++
 		}
 	}
@@ -132,8 +132,8 @@
 	f.hear(1.2)
 	f.record(Record{PerSecond: 1.2})
 	again := fleet.NewServer(fleet.Entry{ID: "s", Born: 7})
-	f.Assert(f.limiter.Bounded(f.server), qt.IsTrue)
-	f.Assert(f.limiter.Bounded(again), qt.IsFalse)
+	f.Assert(f.limiter.Paced(f.server), qt.IsTrue)
+	f.Assert(f.limiter.Paced(again), qt.IsFalse)
 }
 
 // Guards against a record of the end that is older than what the server has said since.
@@ -142,16 +142,16 @@
 	f.record(Record{PerSecond: 1.2})
 	f.hear(1.2)
 	f.pass(time.Second)
-	f.record(Record{Over: true})
+	f.record(Record{Ended: true})
 	f.Assert(f.limits.Count(), qt.Equals, 1)
-	f.Assert(f.limiter.Room(f.server), qt.IsFalse)
-	next, _ := f.limits.Next(f.rank)
+	f.Assert(f.limiter.CanAcquire(f.server), qt.IsFalse)
+	next, _ := f.limits.NextWrite(f.rank)
 	f.Assert(next, qt.IsNotNil)
-	f.Assert(next.Over, qt.IsFalse)
+	f.Assert(next.Ended, qt.IsFalse)
 
 	f.pass(wordLag)
 	f.record(Record{PerSecond: 1.2})
-	f.record(Record{Over: true})
+	f.record(Record{Ended: true})
 	f.Assert(f.limits.Count(), qt.Equals, 0)
 }
 
@@ -161,11 +161,11 @@
 	f.record(Record{PerSecond: 1.2})
 	key := Record{Start: f.server.Start}.Key()
 	for _, value := range []string{"", "{", `{"server":"another","per_second":1}`, `{"server":"` + f.server.Start + `","per_second":-1}`, `[]`} {
-		f.Assert(f.limits.Learn(store.Item{Key: key, Value: []byte(value), Revision: 99}), qt.IsTrue)
+		f.Assert(f.limits.ApplyRecord(store.Item{Key: key, Value: []byte(value), Revision: 99}), qt.IsTrue)
 	}
-	f.Assert(f.limits.Learn(store.Item{Key: key, Value: []byte(`{"server":"` + f.server.Start + `","over":true}`), Revision: 1}), qt.IsTrue)
-	f.Assert(f.limits.Learn(store.Item{Key: "chicory/router/vm-1", Value: []byte("{}"), Revision: 99}), qt.IsFalse)
-	limit, limited := f.limits.Of(f.server.Start)
+	f.Assert(f.limits.ApplyRecord(store.Item{Key: key, Value: []byte(`{"server":"` + f.server.Start + `","over":true}`), Revision: 1}), qt.IsTrue)
+	f.Assert(f.limits.ApplyRecord(store.Item{Key: "chicory/router/vm-1", Value: []byte("{}"), Revision: 99}), qt.IsFalse)
+	limit, limited := f.limits.Lookup(f.server.Start)
 	f.Assert(limited, qt.IsTrue)
 	f.Assert(limit.PerSecond, qt.Equals, 1.2)
 }
@@ -175,7 +175,7 @@
 	f := newFixture(t)
 	f.hear(1.2)
 	registered := false
-	sweep := func() { f.limits.Forget(func(string) bool { return registered }) }
+	sweep := func() { f.limits.Prune(func(string) bool { return registered }) }
 	sweep()
 	f.Assert(f.limits.Count(), qt.Equals, 1)
 	f.pass(goneKept + time.Second)
@@ -192,25 +192,25 @@
 func TestWaitIsTheTimeOfTheNextPlace(t *testing.T) {
 	f := newFixture(t)
 	f.record(Record{PerSecond: 0.5})
-	f.Assert(f.limiter.Wait(f.server), qt.Equals, 2*time.Second)
+	f.Assert(f.limiter.RetryAfter(f.server), qt.Equals, 2*time.Second)
 	f.record(Record{PerSecond: 0})
-	f.Assert(f.limiter.Wait(f.server), qt.Equals, waitMost)
+	f.Assert(f.limiter.RetryAfter(f.server), qt.Equals, waitMost)
 	f.record(Record{PerSecond: 100})
 	f.pass(time.Second)
-	f.Assert(f.limiter.Room(f.server), qt.IsTrue)
-	f.Assert(f.limiter.Wait(f.server), qt.Equals, time.Duration(0))
+	f.Assert(f.limiter.CanAcquire(f.server), qt.IsTrue)
+	f.Assert(f.limiter.RetryAfter(f.server), qt.Equals, time.Duration(0))
 }
 
 // Guards against few places that go to whoever asks most often.
 func TestPlacesAreLeftToUrgentRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
-	y := &Yield{Now: func() time.Time { return now }}
-	qt.Assert(t, y.Must("engines", 9), qt.IsFalse)
-	y.Refused("engines", 3)
-	qt.Assert(t, y.Must("engines", 9), qt.IsTrue)
-	qt.Assert(t, y.Must("engines", 3), qt.IsFalse)
-	qt.Assert(t, y.Must("engines", 0), qt.IsFalse)
-	qt.Assert(t, y.Must("others", 9), qt.IsFalse)
+	y := &PriorityGate{Now: func() time.Time { return now }}
+	qt.Assert(t, y.ShouldYield("engines", 9), qt.IsFalse)
+	y.RecordRefusal("engines", 3)
+	qt.Assert(t, y.ShouldYield("engines", 9), qt.IsTrue)
+	qt.Assert(t, y.ShouldYield("engines", 3), qt.IsFalse)
+	qt.Assert(t, y.ShouldYield("engines", 0), qt.IsFalse)
+	qt.Assert(t, y.ShouldYield("others", 9), qt.IsFalse)
 	now = now.Add(yieldFor)
-	qt.Assert(t, y.Must("engines", 9), qt.IsFalse)
+	qt.Assert(t, y.ShouldYield("engines", 9), qt.IsFalse)
 }
--- a/internal/pacing/pending.go
+++ b/internal/pacing/pending.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// Next returns a record that is due to be written, or nil and the time after which to ask
+// NextWrite returns a record that is due to be written, or nil and the time after which to ask
 // again; zero: not before Wake. place tells this router's rank for a server.
-func (l *Limits) Next(place func(start string) Place) (*Record, time.Duration) {
+func (l *Limits) NextWrite(place func(start string) Rank) (*Record, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
@@ -58,13 +58,13 @@
 		}
 		known.pending.tried = now
 		known.pending.tries++
-		return &Record{Start: start, PerSecond: known.perSecond, Over: known.over}, 0
+		return &Record{Start: start, PerSecond: known.perSecond, Ended: known.over}, 0
 	}
 	return nil, wait
 }
 
 // due is when this router writes the record, if it wants one.
-func (k *limit) due(now time.Time, place func(start string) Place) (due time.Time, wanted bool) {
+func (k *limit) due(now time.Time, place func(start string) Rank) (due time.Time, wanted bool) {
 	if !k.wantsRecord(now) {
 		k.pending = pending{}
 		if k.wantsConfirming() {
@@ -73,14 +73,14 @@
 		return time.Time{}, false
 	}
 	at := place(k.start)
-	if !at.Sure {
+	if !at.Valid {
 		k.pending.since = now
 		return now.Add(unsurePoll), true
 	}
 	if k.pending.since.IsZero() {
 		k.pending.since = now
 	}
-	due = k.pending.since.Add(min(time.Duration(at.Ahead)*writeStep, writeLast))
+	due = k.pending.since.Add(min(time.Duration(at.Position)*writeStep, writeLast))
 	if k.pending.tries > 0 {
 		retry := min(retryFirst<<min(k.pending.tries-1, 10), retryMost)
 		if again := k.pending.tried.Add(retry); again.After(due) {
@@ -94,12 +94,12 @@
 func (k *limit) wantsRecord(now time.Time) bool {
 	recorded := !k.recorded.IsZero()
 	if k.over {
-		return k.endedHere && recorded && !k.record.Over
+		return k.endedHere && recorded && !k.record.Ended
 	}
 	if k.heard.IsZero() {
 		return false
 	}
-	return !recorded || k.record.Over || !isSameRate(k.record.PerSecond, k.perSecond) ||
+	return !recorded || k.record.Ended || !isSameRate(k.record.PerSecond, k.perSecond) ||
 		k.wantsConfirming() && now.Sub(k.recorded) >= confirmEvery
 }
 
--- a/internal/pacing/record.go
+++ b/internal/pacing/record.go
@@ -21,8 +21,8 @@
 	Start string `json:"server"`
 	// PerSecond is requests a second of all routers together.
 	PerSecond float64 `json:"per_second"`
-	// Over: the server names no limit any more.
-	Over bool `json:"over"`
+	// Ended: the server names no limit any more.
+	Ended bool `json:"over"`
 	// Router is the VM of who wrote it.
 	Router string `json:"router"`
 }
--- a/internal/pacing/world_test.go
+++ b/internal/pacing/world_test.go
@@ -114,7 +114,7 @@
 	r.lag = time.Duration(w.random.Int64N(int64(viewOld)))
 	r.limits = NewLimits(event.Discard(), clock)
 	r.limiter = &Limiter{ColdRate: func(string) float64 { return 0 }, Limits: r.limits, Now: clock,
-		Place: func(string) Place { return w.place(r) }}
+		Rank: func(string) Rank { return w.place(r) }}
 }
 
 // list changes who is in the list of routers from a moment on.
@@ -146,9 +146,9 @@
 }
 
 // place ranks a router by the list that it knows.
-func (w *world) place(r *simRouter) Place {
+func (w *world) place(r *simRouter) Rank {
 	if w.storeDown {
-		return Place{}
+		return Rank{}
 	}
 	known := w.changes[0]
 	for _, c := range w.changes {
@@ -158,9 +158,9 @@
 	}
 	since, listed := known.listed[r.index]
 	if !listed || w.now.Sub(since) < listedFor {
-		return Place{}
+		return Rank{}
 	}
-	return Place{Ahead: known.ahead[r.index], Of: len(known.listed), Sure: true}
+	return Rank{Position: known.ahead[r.index], Total: len(known.listed), Valid: true}
 }
 
 // name makes the server name a limit from now on; below zero: none.
@@ -190,7 +190,7 @@
 
 // send sends one request if the router may.
 func (w *world) send(r *simRouter) {
-	if r.limiter.Bounded(w.server) && !r.limiter.Take(w.server) {
+	if r.limiter.Paced(w.server) && !r.limiter.TryAcquire(w.server) {
 		return
 	}
 	w.got = append(w.got, simArrival{at: w.now, router: r.index, told: r.told})
@@ -209,7 +209,7 @@
 		case a.at.After(w.now):
 			rest = append(rest, a)
 		case a.life == a.router.limits && a.router.alive:
-			a.life.Answered(w.server, a.said, a.sent)
+			a.life.ObserveResponse(w.server, a.said, a.sent)
 			if a.said.State == fleet.LimitNamed && !a.sent.Before(w.named) && a.router.told.IsZero() {
 				a.router.told = w.now
 			}
@@ -223,7 +223,7 @@
 	if w.storeDown {
 		return
 	}
-	record, _ := r.limits.Next(func(string) Place { return w.place(r) })
+	record, _ := r.limits.NextWrite(func(string) Rank { return w.place(r) })
 	if record == nil {
 		return
 	}
@@ -241,7 +241,7 @@
 		if w.storeDown || time.UnixMilli(int64(item.Revision)).After(w.now.Add(-r.lag)) {
 			return
 		}
-		r.limits.Learn(item)
+		r.limits.ApplyRecord(item)
 	}
 }
 
--- a/internal/pacing/yield.go
+++ b/internal/pacing/yield.go
@@ -12,10 +12,10 @@
 // urgencies is how many ranks of urgency there are; 0 is first.
 const urgencies = 10
 
-// Yield keeps the places of a service whose servers all bear few requests for its urgent
+// PriorityGate keeps the places of a service whose servers all bear few requests for its urgent
 // requests: first come, first served would give them to whoever asks most often. It is safe
 // for concurrent use.
-type Yield struct {
+type PriorityGate struct {
 	// Now is the clock.
 	Now func() time.Time
 
@@ -23,8 +23,8 @@
 	refused map[string]*[urgencies]time.Time // by service: the last refusal of each rank
 }
 
-// Refused notes that a request found no place.
-func (y *Yield) Refused(service string, urgency int) {
+// RecordRefusal notes that a request found no place.
+func (y *PriorityGate) RecordRefusal(service string, urgency int) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	if y.refused == nil {
@@ -36,8 +36,8 @@
 	y.refused[service][rankOf(urgency)] = y.Now()
 }
 
-// Must says whether a request is to leave a place to more urgent ones.
-func (y *Yield) Must(service string, urgency int) bool {
+// ShouldYield says whether a request is to leave a place to more urgent ones.
+func (y *PriorityGate) ShouldYield(service string, urgency int) bool {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	refused := y.refused[service]
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -52,16 +52,16 @@
 	b.limits, b.routers = limits, max(1, routers)
 }
 
-// Request counts a caller's request for a service.
-func (b *Budget) Request(service string) {
+// RecordRequest counts a caller's request for a service.
+func (b *Budget) RecordRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
 	w.requests = append(w.requests, b.now())
 }
 
-// Take asks for one repeat. It is counted if it is allowed.
-func (b *Budget) Take(service string) bool {
+// TryAcquire asks for one repeat. It is counted if it is allowed.
+func (b *Budget) TryAcquire(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
--- a/internal/retry/quarantine.go
+++ b/internal/retry/quarantine.go
@@ -42,9 +42,9 @@
 	return &Quarantine{now: now, broken: make(map[uint64]*suspect)}
 }
 
-// Broke notes that a server broke while it ran the content, here or (as told by
+// RecordCrash notes that a server broke while it ran the content, here or (as told by
 // another router) elsewhere. It returns how many did.
-func (q *Quarantine) Broke(content uint64) int {
+func (q *Quarantine) RecordCrash(content uint64) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.now()
@@ -59,8 +59,8 @@
 	return s.count
 }
 
-// Hold brings a content into quarantine at once, on another router's word.
-func (q *Quarantine) Hold(content uint64) {
+// Add brings a content into quarantine at once, on another router's word.
+func (q *Quarantine) Add(content uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.now()
@@ -68,23 +68,23 @@
 	q.broken[content] = &suspect{count: breaksMost, last: now}
 }
 
-// Held says whether the content must not be sent to a server any more.
-func (q *Quarantine) Held(content uint64) bool {
+// Contains says whether the content must not be sent to a server any more.
+func (q *Quarantine) Contains(content uint64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	s := q.broken[content]
 	return s != nil && s.count >= breaksMost && q.now().Sub(s.last) < suspectKept
 }
 
-// Cleared notes that a server answered the content whole.
-func (q *Quarantine) Cleared(content uint64) {
+// RecordSuccess notes that a server answered the content whole.
+func (q *Quarantine) RecordSuccess(content uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	delete(q.broken, content)
 }
 
-// Due says whether a count of breaks is the one that starts the quarantine.
-func Due(count int) bool {
+// StartsQuarantine says whether a count of breaks is the one that starts the quarantine.
+func StartsQuarantine(count int) bool {
 	return count == breaksMost
 }
 
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -30,10 +30,10 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			b := budgets[rapid.IntRange(0, routers-1).Draw(t, "router")]
 			for i := rapid.IntRange(0, 5).Draw(t, "requests"); i > 0; i-- {
-				b.Request("engines")
+				b.RecordRequest("engines")
 				requests = append(requests, now)
 			}
-			for b.Take("engines") {
+			for b.TryAcquire("engines") {
 				repeats = append(repeats, now)
 			}
 			in := count(repeats, now.Add(-limits.Window), now)
@@ -59,23 +59,23 @@
 func TestContentThatBreaksServersIsHeld(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := NewQuarantine(func() time.Time { return now })
-	qt.Assert(t, Due(q.Broke(7)), qt.IsFalse)
-	qt.Assert(t, q.Held(7), qt.IsFalse, qt.Commentf("one break may be the network's"))
-	qt.Assert(t, Due(q.Broke(7)), qt.IsTrue)
-	qt.Assert(t, q.Held(7), qt.IsTrue)
-	qt.Assert(t, q.Held(8), qt.IsFalse)
+	qt.Assert(t, StartsQuarantine(q.RecordCrash(7)), qt.IsFalse)
+	qt.Assert(t, q.Contains(7), qt.IsFalse, qt.Commentf("one break may be the network's"))
+	qt.Assert(t, StartsQuarantine(q.RecordCrash(7)), qt.IsTrue)
+	qt.Assert(t, q.Contains(7), qt.IsTrue)
+	qt.Assert(t, q.Contains(8), qt.IsFalse)
 	now = now.Add(suspectKept)
-	qt.Assert(t, q.Held(7), qt.IsFalse)
+	qt.Assert(t, q.Contains(7), qt.IsFalse)
 
-	q.Hold(9)
-	qt.Assert(t, q.Held(9), qt.IsTrue)
+	q.Add(9)
+	qt.Assert(t, q.Contains(9), qt.IsTrue)
 }
 
 // A mass break of connections makes many innocents suspect; the memory is bounded.
 func TestSuspectsAreBounded(t *testing.T) {
 	q := NewQuarantine(nil)
 	for content := uint64(0); content < 2*suspectsMost; content++ {
-		q.Broke(content)
+		q.RecordCrash(content)
 	}
 	qt.Assert(t, len(q.broken) <= suspectsMost, qt.IsTrue)
 }
