--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -94,7 +94,7 @@
 func TestBudgetOfOneAccountIsShown(t *testing.T) {
 	o := newOperator(t)
 	o.run(document(unchanged), "config", "apply", "-")
-	record := escrow.Record{Format: 1, Closed: 30, ClosedSpent: 20, Holders: map[string]map[string]escrow.Figure{"vm-1": {"p1": {Seq: 1, Granted: 40, Spent: 15}}}}
+	record := escrow.Record{Format: 1, Closed: 30, ClosedSpent: 20, Holders: map[string]map[string]escrow.GrantEntry{"vm-1": {"p1": {Seq: 1, Granted: 40, Spent: 15}}}}
 	o.store.Put("chicory-budget/account/boatyard", record.Encode())
 	code, out := o.run("", "budget", "show", "boatyard")
 	o.Assert(code, qt.Equals, ExitOK, qt.Commentf(out))
--- a/internal/escrow/ceiling_test.go
+++ b/internal/escrow/ceiling_test.go
@@ -117,7 +117,7 @@
 	k.round(context.Background(), true)
 	k.round(context.Background(), true)
 	c.Assert(ledgerOf(c, b).Allowances["boatyard"].Ceiling >= 0, qt.IsTrue)
-	c.Assert(b.record(c).Figure("vm", "p1").Granted >= 0, qt.IsTrue)
+	c.Assert(b.record(c).Entry("vm", "p1").Granted >= 0, qt.IsTrue)
 }
 
 // Guards against refusals while a store takes half a second for a write.
@@ -197,7 +197,7 @@
 func TestFirstCeilingIsAPartOfWhatIsLeft(t *testing.T) {
 	c := qt.New(t)
 	b := newBench(1_000_000)
-	b.store.Put("budget/account/boatyard", newRecord().With("other-vm", "p0", Figure{Seq: 1, Granted: 900_000}, nil).Encode())
+	b.store.Put("budget/account/boatyard", newRecord().WithEntry("other-vm", "p0", GrantEntry{Seq: 1, Granted: 900_000}, nil).Encode())
 	k := b.keeper("p1", noPeers{})
 	k.round(context.Background(), true)
 	k.round(context.Background(), true)
--- a/internal/escrow/draw.go
+++ b/internal/escrow/draw.go
@@ -15,7 +15,7 @@
 // draw is one transaction: new figures of some accounts, and the ledger.
 type draw struct {
 	grants  []*grant
-	figures []Figure
+	figures []GrantEntry
 	records []Record
 	// pendingAt is what each grant had before this transaction.
 	pendingAt []int64
@@ -61,8 +61,8 @@
 		// An unanswered write must be followed by another of the same record: that
 		// moves the revision, after which the first one can't land any more.
 		// What a predecessor on this VM left is freed at once, whoever is home now.
-		wanted = wanted || p.record.Left(m.o.VM, m.o.Incarnation)
-		wanted = wanted || refresh && !m.away && p.isUntold(p.record.Figure(m.o.VM, m.o.Incarnation), budgets[account])
+		wanted = wanted || p.record.HasOtherEntries(m.o.VM, m.o.Incarnation)
+		wanted = wanted || refresh && !m.away && p.isUntold(p.record.Entry(m.o.VM, m.o.Incarnation), budgets[account])
 		if (wanted || p.pendingAt != noWrite) && p.decided && len(d.grants) < txnAccounts {
 			m.add(&d, p, granted)
 			due = true
@@ -72,12 +72,12 @@
 		ceiling, short := p.raised(granted, budgets[account], as, m.roundTrip)
 		next := Allowance{Ceiling: ceiling, OutageRate: p.newOutageRate(budgets[account])}
 		if as == home {
-			next.Reserve = int64(reserveShare * float64(p.left(budgets[account])))
+			next.OutageReserve = int64(reserveShare * float64(p.left(budgets[account])))
 		}
 		if m.away {
 			// What waits or is refused in an outage lowers the rate, and with it what
 			// may be spent; nothing is gained by stating less.
-			next = Allowance{max(next.Ceiling, p.allowed.Ceiling), max(next.OutageRate, p.allowed.OutageRate), p.allowed.Reserve}
+			next = Allowance{max(next.Ceiling, p.allowed.Ceiling), max(next.OutageRate, p.allowed.OutageRate), p.allowed.OutageReserve}
 		}
 		d.ledger.Allowances[account] = next
 		due = due || short
@@ -87,11 +87,11 @@
 	}
 	m.lastContact = lastContact
 	m.lower(d.ledger)
-	key := m.o.Prefix + ledgerKeys + m.o.VM
+	key := m.o.Prefix + ledgerKeyPrefix + m.o.VM
 	d.txn.Expect = append(d.txn.Expect, store.Expect{Key: key, Revision: store.Revision(m.ledgerRevision)})
 	d.txn.Puts = append(d.txn.Puts, store.Put{Key: key, Value: d.ledger.Encode()})
 	if m.contactLease != 0 && !m.contactPut {
-		contact := store.Put{Key: m.o.Prefix + contactKeys + m.o.VM, Value: []byte(m.o.Incarnation), Lease: m.contactLease}
+		contact := store.Put{Key: m.o.Prefix + contactKeyPrefix + m.o.VM, Value: []byte(m.o.Incarnation), Lease: m.contactLease}
 		d.txn.Puts = append(d.txn.Puts, contact)
 		d.contact = true
 	}
@@ -104,7 +104,7 @@
 func (m *GrantManager) lower(ledger Ledger) {
 	for account, next := range ledger.Allowances {
 		p := m.grant(account)
-		p.allowed = p.allowed.least(next)
+		p.allowed = p.allowed.elementwiseMin(next)
 	}
 }
 
@@ -130,8 +130,8 @@
 // from now on, before it is stored; a larger one only once it is stored.
 func (m *GrantManager) add(d *draw, p *grant, granted int64) {
 	p.seq++
-	figure := Figure{Seq: p.seq, Granted: granted, Spent: p.netSpent()}
-	next := p.record.With(m.o.VM, m.o.Incarnation, figure, m.mostSpent(d, p))
+	figure := GrantEntry{Seq: p.seq, Granted: granted, Spent: p.netSpent()}
+	next := p.record.WithEntry(m.o.VM, m.o.Incarnation, figure, m.mostSpent(d, p))
 	p.granted = min(p.granted, granted)
 	d.pendingAt = append(d.pendingAt, p.pendingAt)
 	p.pendingAt = p.revision
@@ -148,23 +148,23 @@
 }
 
 func (m *GrantManager) accountKey(p *grant) string {
-	return m.o.Prefix + AccountKeys + p.account
+	return m.o.Prefix + AccountKeyPrefix + p.account
 }
 
 // end is how one account's grant of a dead incarnation was closed.
 type end struct {
 	account, incarnation string
-	figure               Figure
-	judged               Judgement
+	figure               GrantEntry
+	judged               SpendingBound
 }
 
 // mostSpent judges this VM's dead incarnations by the ledger that the last left, and notes
 // in the draw what came of it.
-func (m *GrantManager) mostSpent(d *draw, p *grant) MostSpent {
-	return func(incarnation string, figure Figure) int64 {
-		judged := m.predecessor.Judge(p.account, incarnation, m.o.Address, figure.Granted, m.born, m.leasedIncarnation == incarnation)
+func (m *GrantManager) mostSpent(d *draw, p *grant) MaxSpentFunc {
+	return func(incarnation string, figure GrantEntry) int64 {
+		judged := m.predecessor.BoundSpending(p.account, incarnation, m.o.Address, figure.Granted, m.born, m.leasedIncarnation == incarnation)
 		d.ends = append(d.ends, end{p.account, incarnation, figure, judged})
-		return judged.Most
+		return judged.Max
 	}
 }
 
@@ -172,9 +172,9 @@
 func (m *GrantManager) logEnds(d draw) {
 	for _, e := range d.ends {
 		m.o.Log.Emit(event.GrantClosed, slog.String(event.KeyBudget, e.account), slog.String("holder", e.incarnation),
-			slog.Int64("granted", e.figure.Granted), slog.Int64("spent", e.figure.Spent), slog.Int64("judged", e.judged.Most),
+			slog.Int64("granted", e.figure.Granted), slog.Int64("spent", e.figure.Spent), slog.Int64("judged", e.judged.Max),
 			slog.Int64("ceiling", e.judged.Ceiling), slog.Int64("age_ms", e.judged.Age.Milliseconds()),
-			slog.String("by", string(e.judged.By)))
+			slog.String("by", string(e.judged.Basis)))
 	}
 }
 
@@ -202,7 +202,7 @@
 		}
 		for i, p := range d.grants {
 			p.pendingAt = d.pendingAt[i]
-			p.learned(p.record, p.revision, p.record.Figure(m.o.VM, m.o.Incarnation))
+			p.learned(p.record, p.revision, p.record.Entry(m.o.VM, m.o.Incarnation))
 		}
 	default:
 		m.ledgerKnown = false
@@ -244,7 +244,7 @@
 	for _, item := range result.Current {
 		current[item.Key] = item
 	}
-	if item, found := current[m.o.Prefix+ledgerKeys+m.o.VM]; found {
+	if item, found := current[m.o.Prefix+ledgerKeyPrefix+m.o.VM]; found {
 		m.learnLedger(item)
 	}
 	for i, p := range d.grants {
@@ -254,7 +254,7 @@
 		case found:
 			m.learn(p, item)
 		case p.revision == 0:
-			p.learned(p.record, 0, Figure{})
+			p.learned(p.record, 0, GrantEntry{})
 		default:
 			p.decided = false
 		}
--- a/internal/escrow/gather.go
+++ b/internal/escrow/gather.go
@@ -49,7 +49,7 @@
 
 // spentElsewhere is what was surely spent by all but this process. The keeper is locked.
 func (m *GrantManager) spentElsewhere(p *grant) int64 {
-	sum := p.record.ClosedSpent + p.record.SpentBy(m.o.VM) - p.record.Figure(m.o.VM, m.o.Incarnation).Spent
+	sum := p.record.ClosedSpent + p.record.SpentBy(m.o.VM) - p.record.Entry(m.o.VM, m.o.Incarnation).Spent
 	for vm := range p.record.Holders {
 		if vm != m.o.VM {
 			sum += m.spentAt(p, vm)
--- a/internal/escrow/gather_test.go
+++ b/internal/escrow/gather_test.go
@@ -23,10 +23,10 @@
 	k := b.keeper("p1", noPeers{})
 	k.addresses = map[string]string{k.o.VM: "own", "vm-2": "two", "vm-3": "three"}
 	r := newRecord()
-	r.Holders[k.o.VM] = map[string]Figure{"p1": {Granted: 900_000}}
-	r.Holders["vm-2"] = map[string]Figure{"p2": {Granted: 50_000, Spent: 45_000}}
-	r.Holders["vm-3"] = map[string]Figure{"p3": {Granted: 20_000, Spent: 1_000}}
-	r.Holders["vm-4"] = map[string]Figure{"p4": {Granted: 30_000}}
+	r.Holders[k.o.VM] = map[string]GrantEntry{"p1": {Granted: 900_000}}
+	r.Holders["vm-2"] = map[string]GrantEntry{"p2": {Granted: 50_000, Spent: 45_000}}
+	r.Holders["vm-3"] = map[string]GrantEntry{"p3": {Granted: 20_000, Spent: 1_000}}
+	r.Holders["vm-4"] = map[string]GrantEntry{"p4": {Granted: 30_000}}
 	p := k.grant("boatyard")
 	p.record = r
 	vm, address := k.largestElsewhere(p)
@@ -55,7 +55,7 @@
 	c := qt.New(t)
 	b := newBench(100_000)
 	b.steady = time.Minute
-	record := newRecord().With("vm-2", "p2", Figure{Seq: 1, Granted: 0, Spent: -17_000}, nil)
+	record := newRecord().WithEntry("vm-2", "p2", GrantEntry{Seq: 1, Granted: 0, Spent: -17_000}, nil)
 	record.Closed, record.ClosedSpent = 100_000, 100_000
 	b.store.Put("budget/account/boatyard", record.Encode())
 	other := Ledger{Format: ledgerFormat, Incarnation: "p2", Address: "two", Allowances: map[string]Allowance{}}
--- a/internal/escrow/grant.go
+++ b/internal/escrow/grant.go
@@ -102,7 +102,7 @@
 // learned takes the record as the store has it. Once its revision has passed what
 // the unanswered writes expect, none of them can land any more, and this
 // incarnation's figure in it is the truth.
-func (p *grant) learned(record Record, revision int64, mine Figure) {
+func (p *grant) learned(record Record, revision int64, mine GrantEntry) {
 	p.record, p.revision, p.decided = record, revision, true
 	if revision > p.pendingAt {
 		p.pendingAt = noWrite
@@ -120,7 +120,7 @@
 
 // available is what may be reserved at an age of the last contact; zero in contact.
 func (p *grant) available(age time.Duration) int64 {
-	return min(p.granted, p.allowed.at(age)) - p.used()
+	return min(p.granted, p.allowed.limitAt(age)) - p.used()
 }
 
 // newOutageRate is the outage rate to state: above the usual use, for its ups and downs.
@@ -155,7 +155,7 @@
 
 // free is what the record leaves to grant.
 func (p *grant) free(prepaid int64) int64 {
-	return max(0, prepaid-p.record.Given())
+	return max(0, prepaid-p.record.TotalGranted())
 }
 
 // plan returns the grant to ask for next, and whether a write is due. The account's home
@@ -177,10 +177,10 @@
 	case as == borrower && p.waiting == 0 && left > 0 && p.allowed.Ceiling < p.granted:
 		// A former home's rest. What is below the ceiling goes to the new home.
 		return max(p.used(), min(p.granted, p.allowed.Ceiling)), true
-	case p.record.Given() > prepaid && left > 0:
+	case p.record.TotalGranted() > prepaid && left > 0:
 		// A budget that was lowered: what was granted beyond it is given back, or this
 		// router would go on to spend it.
-		excess := p.record.Given() - prepaid
+		excess := p.record.TotalGranted() - prepaid
 		return max(p.used(), p.granted-excess), true
 	}
 	return p.granted, false
@@ -193,7 +193,7 @@
 
 // isUntold says whether the record lacks so much of this router's use that it has to be told, and no
 // draw will tell it.
-func (p *grant) isUntold(told Figure, prepaid int64) bool {
+func (p *grant) isUntold(told GrantEntry, prepaid int64) bool {
 	lag := math.Abs(float64(p.netSpent() - told.Spent))
 	return told.Seq > 0 && p.free(prepaid) == 0 && lag > untoldMost*float64(prepaid)
 }
--- a/internal/escrow/holders.go
+++ b/internal/escrow/holders.go
@@ -238,7 +238,7 @@
 		return
 	}
 	m.o.Log.Emit(event.BudgetShort, slog.String(event.KeyBudget, p.account), slog.Int64("prepaid", prepaid),
-		slog.Int64("given", p.record.Given()), slog.Int64("closed", p.record.Closed),
+		slog.Int64("given", p.record.TotalGranted()), slog.Int64("closed", p.record.Closed),
 		slog.Int64("closed_spent", p.record.ClosedSpent), slog.Int64("used", used), slog.Int64("left", left),
 		slog.Int64("revision", p.revision), slog.Any(event.KeyCause, why), slog.Int("unlogged", p.lackLog.take()))
 }
@@ -287,7 +287,7 @@
 	prepaid := m.o.Budgets()[h.grant.account]
 	if got > 0 || h.grant.lackLog.due(m.o.Clock().Steady) {
 		m.o.Log.Emit(event.TokensBorrowed, slog.String(event.KeyBudget, h.grant.account), slog.Int64("missing", missing),
-			slog.Int64(event.KeyTokens, got), slog.Int64("prepaid", prepaid), slog.Int64("given", record.Given()),
+			slog.Int64(event.KeyTokens, got), slog.Int64("prepaid", prepaid), slog.Int64("given", record.TotalGranted()),
 			slog.Int64("closed", record.Closed), slog.Int64("used", used), slog.Any(event.KeyCause, ErrUnreachable),
 			slog.Int("unlogged", h.grant.lackLog.take()))
 	}
--- a/internal/escrow/holders_test.go
+++ b/internal/escrow/holders_test.go
@@ -38,7 +38,7 @@
 		return store.Result{}, store.ErrUnavailable
 	}
 	for _, put := range txn.Puts {
-		if strings.Contains(put.Key, AccountKeys) {
+		if strings.Contains(put.Key, AccountKeyPrefix) {
 			s.writes.Add(1)
 			break
 		}
--- a/internal/escrow/keeper.go
+++ b/internal/escrow/keeper.go
@@ -67,9 +67,9 @@
 
 // Keys below the prefix.
 const (
-	AccountKeys = "account/" // a Record each
-	ledgerKeys  = "router/"  // a Ledger each
-	contactKeys = "contact/" // the incarnation, under its contact lease
+	AccountKeyPrefix = "account/" // a Record each
+	ledgerKeyPrefix  = "router/"  // a Ledger each
+	contactKeyPrefix = "contact/" // the incarnation, under its contact lease
 )
 
 // GrantManager holds this router's grants. Reservations come from any goroutine; one
@@ -284,7 +284,7 @@
 		}
 		m.contactLease, m.contactPut = 0, false
 	}
-	lease, err := m.o.Store.Grant(ctx, contactLease)
+	lease, err := m.o.Store.Grant(ctx, contactLeaseTTL)
 	if err != nil {
 		m.o.Log.Emit(event.LeaseLost, slog.String("lease_of", "contact"), slog.Any(event.KeyCause, err))
 		return
@@ -356,23 +356,23 @@
 	m.ledgerKnown, m.ledgerRevision = true, 0
 	for _, item := range snapshot.Items {
 		key := strings.TrimPrefix(item.Key, m.o.Prefix)
-		if account, isRecord := strings.CutPrefix(key, AccountKeys); isRecord {
+		if account, isRecord := strings.CutPrefix(key, AccountKeyPrefix); isRecord {
 			found[account] = true
 			m.learn(m.grant(account), item)
 		}
-		if vm, isLedger := strings.CutPrefix(key, ledgerKeys); isLedger {
+		if vm, isLedger := strings.CutPrefix(key, ledgerKeyPrefix); isLedger {
 			m.addresses[vm] = ledgerAddress(item.Value)
 		}
-		if key == ledgerKeys+m.o.VM {
+		if key == ledgerKeyPrefix+m.o.VM {
 			m.learnLedger(item)
 		}
-		if key == contactKeys+m.o.VM {
+		if key == contactKeyPrefix+m.o.VM {
 			m.leasedIncarnation = string(item.Value)
 		}
 	}
 	for account := range budgets {
 		if p := m.grant(account); !found[account] && !p.decided {
-			p.learned(newRecord(), 0, Figure{})
+			p.learned(newRecord(), 0, GrantEntry{})
 		}
 	}
 	return true
@@ -388,7 +388,7 @@
 		m.o.Log.Emit(event.InvariantBroken, slog.String(event.KeyBudget, p.account), slog.Any(event.KeyCause, err))
 		return
 	}
-	p.learned(record, int64(item.Revision), record.Figure(m.o.VM, m.o.Incarnation))
+	p.learned(record, int64(item.Revision), record.Entry(m.o.VM, m.o.Incarnation))
 }
 
 // learnLedger takes this VM's ledger as the store has it. Ceilings of this process's own
--- a/internal/escrow/keeper_test.go
+++ b/internal/escrow/keeper_test.go
@@ -67,7 +67,7 @@
 	c := qt.New(t)
 	b := newBench(1_000_000)
 	b.keeper("p1", noPeers{}).round(context.Background(), true)
-	c.Assert(b.record(c).Given() >= 200_000, qt.IsTrue)
+	c.Assert(b.record(c).TotalGranted() >= 200_000, qt.IsTrue)
 
 	b.steady += time.Second
 	b.keeper("p2", noPeers{}).round(context.Background(), true)
@@ -79,11 +79,11 @@
 	c := qt.New(t)
 	b := newBench(1_000_000)
 	b.keeper("p1", noPeers{}).round(context.Background(), true)
-	granted := b.record(c).Given()
+	granted := b.record(c).TotalGranted()
 	b.home = "elsewhere"
 	b.steady += time.Second
 	b.keeper("p2", noPeers{}).round(context.Background(), true)
-	c.Assert(b.record(c).Given() < granted/10, qt.IsTrue, qt.Commentf("%d of %d", b.record(c).Given(), granted))
+	c.Assert(b.record(c).TotalGranted() < granted/10, qt.IsTrue, qt.Commentf("%d of %d", b.record(c).TotalGranted(), granted))
 }
 
 // Guards against freeing what a process without contact may have spent.
@@ -91,7 +91,7 @@
 	c := qt.New(t)
 	b := newBench(1_000_000)
 	b.keeper("p1", noPeers{}).round(context.Background(), true)
-	granted := b.record(c).Given()
+	granted := b.record(c).TotalGranted()
 
 	b.steady += 5 * time.Minute
 	b.keeper("p2", noPeers{}).round(context.Background(), true)
@@ -102,7 +102,7 @@
 func TestDeathRightAfterAnOutageDoesNotLoseTheWholeGrant(t *testing.T) {
 	c := qt.New(t)
 	b, k, _ := startedBench()
-	granted := b.record(c).Given()
+	granted := b.record(c).TotalGranted()
 	b.steady += 3500 * time.Millisecond
 	k.away, k.readAt = true, b.steady // a write failed; no read has succeeded since
 	k.round(context.Background(), true)
@@ -118,7 +118,7 @@
 func TestHomeReadsAgainWhileItIsShort(t *testing.T) {
 	c := qt.New(t)
 	b := newBench(1_000_000)
-	all := newRecord().With("other-vm", "p0", Figure{Seq: 1, Granted: 1_000_000}, nil)
+	all := newRecord().WithEntry("other-vm", "p0", GrantEntry{Seq: 1, Granted: 1_000_000}, nil)
 	b.store.Put("budget/account/boatyard", all.Encode())
 	k := b.keeper("p1", noPeers{})
 	b.steady = time.Hour
@@ -136,7 +136,7 @@
 	c := qt.New(t)
 	b := newBench(1_000_000)
 	b.home = "elsewhere"
-	b.store.Put("budget/account/boatyard", newRecord().With("other-vm", "p0", Figure{Seq: 1, Granted: 1_000_000}, nil).Encode())
+	b.store.Put("budget/account/boatyard", newRecord().WithEntry("other-vm", "p0", GrantEntry{Seq: 1, Granted: 1_000_000}, nil).Encode())
 	k := b.keeper("p1", noPeers{})
 	k.round(context.Background(), true)
 	p := k.grant("boatyard")
@@ -155,18 +155,18 @@
 	c.Assert(err, qt.IsNil)
 	reservation.Settle(7_000)
 	c.Assert(k.ReturnGrants(context.Background()), qt.IsNil)
-	c.Assert(b.record(c).Given(), qt.Equals, int64(7_000))
+	c.Assert(b.record(c).TotalGranted(), qt.Equals, int64(7_000))
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(newRecord().With("vm", "p", Figure{Seq: 1, Granted: 5}, nil).Encode())
+	f.Add(newRecord().WithEntry("vm", "p", GrantEntry{Seq: 1, Granted: 5}, nil).Encode())
 	f.Add(Ledger{Format: recordFormat, Incarnation: "p"}.Encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if record, err := DecodeRecord(data); err == nil {
-			_ = record.With("vm", "new", Figure{}, func(_ string, f Figure) int64 { return f.Granted }).Encode()
+			_ = record.WithEntry("vm", "new", GrantEntry{}, func(_ string, f GrantEntry) int64 { return f.Granted }).Encode()
 		}
 		if ledger, err := DecodeLedger(data); err == nil {
-			_ = ledger.Judge("a", "p", "vm", 10, ClockReading{}, true)
+			_ = ledger.BoundSpending("a", "p", "vm", 10, ClockReading{}, true)
 		}
 	})
 }
@@ -181,6 +181,6 @@
 	b.paid["boatyard"] = 6_000
 	p.rate, p.weight, p.rateAt = 100_000, 1, b.steady // a busy account: its ceiling is high
 	k.round(context.Background(), true)
-	c.Assert(b.record(c).Given() <= 6_000, qt.IsTrue, qt.Commentf("%d granted", b.record(c).Given()))
+	c.Assert(b.record(c).TotalGranted() <= 6_000, qt.IsTrue, qt.Commentf("%d granted", b.record(c).TotalGranted()))
 	c.Assert(p.available(0) <= 1_000, qt.IsTrue, qt.Commentf("%d available", p.available(0)))
 }
--- a/internal/escrow/ledger.go
+++ b/internal/escrow/ledger.go
@@ -19,32 +19,32 @@
 // and listen on the same ports.
 
 const (
-	// openAfter is the time since the last contact within which the ceiling holds. It
+	// outageGrace is the time since the last contact within which the ceiling holds. It
 	// covers the pause between two ledgers and some lost answers.
-	openAfter = 2 * time.Second
-	// clockMargin is how far a VM's time of day may have been moved between two
+	outageGrace = 2 * time.Second
+	// wallClockMargin is how far a VM's time of day may have been moved between two
 	// processes. It matters after a loss of power only: else the steady clock tells.
-	clockMargin = 2200 * time.Millisecond
-	// clockDrift is the margin where the store confirms the time of day: the
+	wallClockMargin = 2200 * time.Millisecond
+	// confirmedClockMargin is the margin where the store confirms the time of day: the
 	// predecessor's contact lease, which it renewed right after its last write, is
 	// still there.
-	clockDrift = 300 * time.Millisecond
-	// contactLease bounds what the store confirms: long enough for an outage, a
+	confirmedClockMargin = 300 * time.Millisecond
+	// contactLeaseTTL bounds what the store confirms: long enough for an outage, a
 	// loss of power right in it, and the restart.
-	contactLease = 10 * time.Second
-	// readingOldest bounds the age of a reading on a steady clock that is believed: a
+	contactLeaseTTL = 10 * time.Second
+	// maxReadingAge bounds the age of a reading on a steady clock that is believed: a
 	// clock that began anew shows anything.
-	readingOldest = 10 * time.Minute
+	maxReadingAge = 10 * time.Minute
 )
 
 const (
-	// fullRateTime is the time after openAfter in which the outage rate holds in full: what waits
+	// fullRatePeriod is the time after openAfter in which the outage rate holds in full: what waits
 	// since the beginning of the outage is served then.
-	fullRateTime = 1500 * time.Millisecond
-	// lateRateShare is the part of the rate that holds afterwards, once the allowance's reserve
+	fullRatePeriod = 1500 * time.Millisecond
+	// lateRateFactor is the part of the rate that holds afterwards, once the allowance's reserve
 	// is used up. Where all routers die late in an outage, all that it allowed counts as
 	// spent, and little is left for who comes afterwards.
-	lateRateShare = 0.45
+	lateRateFactor = 0.45
 )
 
 // Allowance is how much of its grant on one account a router may use.
@@ -53,22 +53,22 @@
 	Ceiling int64 `json:"ceiling"`
 	// OutageRate is how many tokens a second may be used beyond that, out of contact.
 	OutageRate int64 `json:"outage_rate"`
-	// Reserve is how much may be used beyond the ceiling at the full outage rate.
-	Reserve int64 `json:"reserve"`
+	// OutageReserve is how much may be used beyond the ceiling at the full outage rate.
+	OutageReserve int64 `json:"reserve"`
 }
 
-// at is the most that may be used when the last contact is so old.
-func (a Allowance) at(age time.Duration) int64 {
-	open := max(0, age-openAfter)
-	early := min(open, fullRateTime)
+// limitAt is the most that may be used when the last contact is so old.
+func (a Allowance) limitAt(age time.Duration) int64 {
+	open := max(0, age-outageGrace)
+	early := min(open, fullRatePeriod)
 	full := int64(float64(a.OutageRate) * open.Seconds())
-	late := int64(float64(a.OutageRate) * (early.Seconds() + lateRateShare*(open-early).Seconds()))
-	return a.Ceiling + max(late, min(full, a.Reserve))
+	late := int64(float64(a.OutageRate) * (early.Seconds() + lateRateFactor*(open-early).Seconds()))
+	return a.Ceiling + max(late, min(full, a.OutageReserve))
 }
 
-// least is the lower of each of two allowances: what holds while either may be stored.
-func (a Allowance) least(b Allowance) Allowance {
-	return Allowance{min(a.Ceiling, b.Ceiling), min(a.OutageRate, b.OutageRate), min(a.Reserve, b.Reserve)}
+// elementwiseMin is the lower of each of two allowances: what holds while either may be stored.
+func (a Allowance) elementwiseMin(b Allowance) Allowance {
+	return Allowance{min(a.Ceiling, b.Ceiling), min(a.OutageRate, b.OutageRate), min(a.OutageReserve, b.OutageReserve)}
 }
 
 // ledgerFormat is the version of the stored form. A ledger of another version says
@@ -82,37 +82,37 @@
 	Wall   time.Time     `json:"wall"`
 }
 
-// JudgedBy is what a dead router's spending was bounded by.
-type JudgedBy string
+// BoundBasis is what a dead router's spending was bounded by.
+type BoundBasis string
 
 // Bounds of a dead router's spending, the tightest first.
 const (
-	// BySteadyClock: its ledger, whose age the VM's steady clock tells.
-	BySteadyClock JudgedBy = "steady_clock"
-	// ByContactLease: its ledger, whose age the time of day tells; the store confirms it.
-	ByContactLease JudgedBy = "contact_lease"
-	// ByTimeOfDay: the same, with nothing that confirms it.
-	ByTimeOfDay JudgedBy = "time_of_day"
-	// ByGrant: no ledger of it, or no clock to judge that by. All counts as spent.
-	ByGrant JudgedBy = "grant"
+	// BasisSteadyClock: its ledger, whose age the VM's steady clock tells.
+	BasisSteadyClock BoundBasis = "steady_clock"
+	// BasisContactLease: its ledger, whose age the time of day tells; the store confirms it.
+	BasisContactLease BoundBasis = "contact_lease"
+	// BasisTimeOfDay: the same, with nothing that confirms it.
+	BasisTimeOfDay BoundBasis = "time_of_day"
+	// BasisGrant: no ledger of it, or no clock to judge that by. All counts as spent.
+	BasisGrant BoundBasis = "grant"
 )
 
-// ageAt is the longest time that can have passed between the reading and now, and what
+// maxAgeAt is the longest time that can have passed between the reading and now, and what
 // tells it; ByGrant if nothing can be said. leaseAlive says that the lease bound to it
 // still runs.
-func (s ClockReading) ageAt(now ClockReading, leaseAlive bool) (age time.Duration, by JudgedBy) {
-	age = now.Steady - s.Steady
-	if s.Boot == now.Boot && age >= 0 && age < readingOldest {
-		return age, BySteadyClock
+func (c ClockReading) maxAgeAt(now ClockReading, leaseAlive bool) (age time.Duration, by BoundBasis) {
+	age = now.Steady - c.Steady
+	if c.Boot == now.Boot && age >= 0 && age < maxReadingAge {
+		return age, BasisSteadyClock
 	}
-	age = now.Wall.Sub(s.Wall)
+	age = now.Wall.Sub(c.Wall)
 	switch {
-	case leaseAlive && age >= 0 && age <= contactLease:
-		return age + clockDrift, ByContactLease
-	case age < -clockMargin:
-		return 0, ByGrant
+	case leaseAlive && age >= 0 && age <= contactLeaseTTL:
+		return age + confirmedClockMargin, BasisContactLease
+	case age < -wallClockMargin:
+		return 0, BasisGrant
 	}
-	return age + clockMargin, ByTimeOfDay
+	return age + wallClockMargin, BasisTimeOfDay
 }
 
 // Ledger is what one router says of its own spending.
@@ -131,10 +131,10 @@
 func DecodeLedger(data []byte) (Ledger, error) {
 	l := Ledger{}
 	if err := json.Unmarshal(data, &l); err != nil {
-		return Ledger{}, errors.Wrap(ErrRecord, err.Error())
+		return Ledger{}, errors.Wrap(ErrInvalidRecord, err.Error())
 	}
 	if l.Format != ledgerFormat {
-		return Ledger{}, errors.Wrapf(ErrRecord, "format %d", l.Format)
+		return Ledger{}, errors.Wrapf(ErrInvalidRecord, "format %d", l.Format)
 	}
 	return l, nil
 }
@@ -148,12 +148,12 @@
 	return data
 }
 
-// Judgement is how much of a dead incarnation's grant counts as spent, and why. The rest is
+// SpendingBound is how much of a dead incarnation's grant counts as spent, and why. The rest is
 // free again.
-type Judgement struct {
-	// Most is the tokens that it can have spent at most.
-	Most int64
-	By   JudgedBy
+type SpendingBound struct {
+	// Max is the tokens that it can have spent at most.
+	Max   int64
+	Basis BoundBasis
 	// Ceiling is the part of Most that it could use in contact; what is above is for the
 	// time that it may have been out of contact.
 	Ceiling int64
@@ -161,18 +161,18 @@
 	Age time.Duration
 }
 
-// Judge says what a dead incarnation of a VM can have spent of a grant at most, as its
+// BoundSpending says what a dead incarnation of a VM can have spent of a grant at most, as its
 // successor at the same address may conclude from the ledger. leaseAlive says that the
 // incarnation's contact lease has not run out.
-func (l Ledger) Judge(account, incarnation, address string, granted int64, now ClockReading, leaseAlive bool) Judgement {
-	all := Judgement{Most: granted, By: ByGrant, Ceiling: granted}
+func (l Ledger) BoundSpending(account, incarnation, address string, granted int64, now ClockReading, leaseAlive bool) SpendingBound {
+	all := SpendingBound{Max: granted, Basis: BasisGrant, Ceiling: granted}
 	if l.Incarnation != incarnation || l.Address != address {
 		return all
 	}
-	age, by := l.Contact.ageAt(now, leaseAlive)
-	if by == ByGrant {
+	age, by := l.Contact.maxAgeAt(now, leaseAlive)
+	if by == BasisGrant {
 		return all
 	}
 	allowed := l.Allowances[account]
-	return Judgement{Most: min(granted, allowed.at(age)), By: by, Ceiling: min(granted, allowed.Ceiling), Age: age}
+	return SpendingBound{Max: min(granted, allowed.limitAt(age)), Basis: by, Ceiling: min(granted, allowed.Ceiling), Age: age}
 }
--- a/internal/escrow/ledger_test.go
+++ b/internal/escrow/ledger_test.go
@@ -24,18 +24,18 @@
 		unknown    bool
 	}{
 		{name: "same boot", now: readingAt("boot-1", time.Hour+2*time.Second, -time.Hour), age: 2 * time.Second},
-		{name: "another boot with a plausible steady clock", now: readingAt("boot-2", time.Hour+time.Second, 9*time.Second), age: 9*time.Second + clockMargin},
-		{name: "steady clock that ran back", now: readingAt("boot-1", time.Minute, 9*time.Second), age: 9*time.Second + clockMargin},
-		{name: "steady clock far ahead", now: readingAt("boot-1", 3*time.Hour, 9*time.Second), age: 9*time.Second + clockMargin},
-		{name: "its lease alive", now: readingAt("boot-2", 0, 2*time.Second), leaseAlive: true, age: 2*time.Second + clockDrift},
-		{name: "its lease still alive, through an outage and a restart", now: readingAt("boot-2", 0, 5400*time.Millisecond), leaseAlive: true, age: 5400*time.Millisecond + clockDrift},
-		{name: "its lease alive, but the contact older than it", now: readingAt("boot-2", 0, 11*time.Second), leaseAlive: true, age: 11*time.Second + clockMargin},
-		{name: "its lease alive, but now before the contact", now: readingAt("boot-2", 0, -time.Second), leaseAlive: true, age: clockMargin - time.Second},
+		{name: "another boot with a plausible steady clock", now: readingAt("boot-2", time.Hour+time.Second, 9*time.Second), age: 9*time.Second + wallClockMargin},
+		{name: "steady clock that ran back", now: readingAt("boot-1", time.Minute, 9*time.Second), age: 9*time.Second + wallClockMargin},
+		{name: "steady clock far ahead", now: readingAt("boot-1", 3*time.Hour, 9*time.Second), age: 9*time.Second + wallClockMargin},
+		{name: "its lease alive", now: readingAt("boot-2", 0, 2*time.Second), leaseAlive: true, age: 2*time.Second + confirmedClockMargin},
+		{name: "its lease still alive, through an outage and a restart", now: readingAt("boot-2", 0, 5400*time.Millisecond), leaseAlive: true, age: 5400*time.Millisecond + confirmedClockMargin},
+		{name: "its lease alive, but the contact older than it", now: readingAt("boot-2", 0, 11*time.Second), leaseAlive: true, age: 11*time.Second + wallClockMargin},
+		{name: "its lease alive, but now before the contact", now: readingAt("boot-2", 0, -time.Second), leaseAlive: true, age: wallClockMargin - time.Second},
 		{name: "time of day moved back too far", now: readingAt("boot-2", 0, -time.Minute), unknown: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			age, by := last.ageAt(test.now, test.leaseAlive)
-			qt.Assert(t, by == ByGrant, qt.Equals, test.unknown)
+			age, by := last.maxAgeAt(test.now, test.leaseAlive)
+			qt.Assert(t, by == BasisGrant, qt.Equals, test.unknown)
 			qt.Assert(t, age, qt.Equals, test.age)
 		})
 	}
@@ -53,19 +53,19 @@
 		now                  ClockReading
 		want                 int64
 	}{
-		{"in contact", ledger, "old", "vm", at(openAfter), 300},
-		{"a second out of contact", ledger, "old", "vm", at(openAfter + time.Second), 400},
-		{"seconds out of contact", ledger, "old", "vm", at(openAfter + fullRateTime + 2*time.Second), 300 + 150 + 90},
+		{"in contact", ledger, "old", "vm", at(outageGrace), 300},
+		{"a second out of contact", ledger, "old", "vm", at(outageGrace + time.Second), 400},
+		{"seconds out of contact", ledger, "old", "vm", at(outageGrace + fullRatePeriod + 2*time.Second), 300 + 150 + 90},
 		{"long out of contact", ledger, "old", "vm", at(time.Minute), 1000},
 		{"another incarnation's ledger", ledger, "older", "vm", at(0), 1000},
 		{"another VM of the same name", ledger, "old", "vm-2", at(0), 1000},
 		{"no clock to go by", ledger, "old", "vm", readingAt("other", 0, -time.Hour), 1000},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			qt.Assert(t, test.ledger.Judge("boatyard", test.incarnation, test.address, 1000, test.now, false).Most, qt.Equals, test.want)
+			qt.Assert(t, test.ledger.BoundSpending("boatyard", test.incarnation, test.address, 1000, test.now, false).Max, qt.Equals, test.want)
 		})
 	}
-	qt.Assert(t, ledger.Judge("boatyard", "old", "vm", 200, at(0), false).Most, qt.Equals, int64(200), qt.Commentf("a grant below its ceiling"))
+	qt.Assert(t, ledger.BoundSpending("boatyard", "old", "vm", 200, at(0), false).Max, qt.Equals, int64(200), qt.Commentf("a grant below its ceiling"))
 }
 
 // Guards against losing the rest of a budget by deaths late in an outage.
@@ -74,8 +74,8 @@
 	p := newGrant("boatyard")
 	p.rate = rate
 	outage := 6 * time.Second
-	allowed := Allowance{OutageRate: p.newOutageRate(prepaid)}.at(outage)
-	used := int64(rate * (outage - openAfter).Seconds())
+	allowed := Allowance{OutageRate: p.newOutageRate(prepaid)}.limitAt(outage)
+	used := int64(rate * (outage - outageGrace).Seconds())
 	qt.Assert(t, allowed > used, qt.IsTrue, qt.Commentf("%d allowed, %d used", allowed, used))
 	qt.Assert(t, float64(allowed-used) < 0.1*prepaid, qt.IsTrue, qt.Commentf("%d of %d lost", allowed-used, prepaid))
 }
@@ -83,8 +83,8 @@
 // granted is an account of which this router was granted some tokens, and no other any.
 func granted(tokens int64) *grant {
 	p := newGrant("boatyard")
-	mine := Figure{Seq: 1, Granted: tokens}
-	p.learned(newRecord().With("vm", "p1", mine, nil), 1, mine)
+	mine := GrantEntry{Seq: 1, Granted: tokens}
+	p.learned(newRecord().WithEntry("vm", "p1", mine, nil), 1, mine)
 	return p
 }
 
@@ -94,12 +94,12 @@
 	p := granted(2_000_000)
 	p.rate, p.weight, p.spent = rate, 1, 500_000
 	ceiling, _ := p.raised(p.granted, prepaid, home, 0)
-	allowed := Allowance{Ceiling: ceiling, OutageRate: p.newOutageRate(prepaid), Reserve: int64(reserveShare * float64(p.left(prepaid)))}
-	for age := openAfter + time.Second; age <= 8*time.Second; age += 100 * time.Millisecond {
+	allowed := Allowance{Ceiling: ceiling, OutageRate: p.newOutageRate(prepaid), OutageReserve: int64(reserveShare * float64(p.left(prepaid)))}
+	for age := outageGrace + time.Second; age <= 8*time.Second; age += 100 * time.Millisecond {
 		used := p.spent + int64(1.5*rate*age.Seconds())
-		qt.Assert(t, allowed.at(age) >= used, qt.IsTrue, qt.Commentf("after %v: %d allowed, %d used", age, allowed.at(age), used))
+		qt.Assert(t, allowed.limitAt(age) >= used, qt.IsTrue, qt.Commentf("after %v: %d allowed, %d used", age, allowed.limitAt(age), used))
 	}
-	qt.Assert(t, allowed.at(openAfter) >= p.spent+int64(rate*aheadLeast.Seconds()), qt.IsTrue)
+	qt.Assert(t, allowed.limitAt(outageGrace) >= p.spent+int64(rate*aheadLeast.Seconds()), qt.IsTrue)
 }
 
 // Guards against a reserve that leaves nothing to those who come back from an outage.
@@ -111,8 +111,8 @@
 		left := p.left(prepaid)
 		ceiling, _ := p.raised(p.granted, prepaid, home, 0)
 		outageRate := p.newOutageRate(prepaid)
-		lost := Allowance{ceiling, outageRate, int64(reserveShare * float64(left))}.at(8*time.Second) - ceiling
-		without := Allowance{ceiling, outageRate, 0}.at(8*time.Second) - ceiling
+		lost := Allowance{ceiling, outageRate, int64(reserveShare * float64(left))}.limitAt(8*time.Second) - ceiling
+		without := Allowance{ceiling, outageRate, 0}.limitAt(8*time.Second) - ceiling
 		qt.Assert(t, lost <= max(without, left/2), qt.IsTrue, qt.Commentf("%d of %d", lost, left))
 	}
 }
@@ -134,14 +134,14 @@
 // Guards against spending tokens whose return is not answered.
 func TestUnansweredReturnIsNotSpent(t *testing.T) {
 	p := newGrant("boatyard")
-	p.learned(newRecord(), 5, Figure{Granted: 1000})
+	p.learned(newRecord(), 5, GrantEntry{Granted: 1000})
 	qt.Assert(t, p.granted, qt.Equals, int64(1000))
 	p.granted, p.pendingAt = 400, 5 // sent: granted 400, expected at revision 5
 
-	p.learned(newRecord(), 5, Figure{Granted: 1000})
+	p.learned(newRecord(), 5, GrantEntry{Granted: 1000})
 	qt.Assert(t, p.granted, qt.Equals, int64(400), qt.Commentf("the write may land yet"))
 
-	p.learned(newRecord(), 6, Figure{Granted: 1000})
+	p.learned(newRecord(), 6, GrantEntry{Granted: 1000})
 	qt.Assert(t, p.granted, qt.Equals, int64(1000), qt.Commentf("another write came first"))
 }
 
@@ -149,7 +149,7 @@
 func TestPaceRisesOnlyWhenStored(t *testing.T) {
 	p := newGrant("boatyard")
 	p.granted, p.allowed = 10_000, Allowance{Ceiling: 100, OutageRate: 50}
-	age := openAfter + time.Second
+	age := outageGrace + time.Second
 	qt.Assert(t, p.available(0), qt.Equals, int64(100))
 	qt.Assert(t, p.available(age), qt.Equals, int64(150))
 	p.granted = 120
--- a/internal/escrow/outage_test.go
+++ b/internal/escrow/outage_test.go
@@ -60,7 +60,7 @@
 	served := make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	b.steady = openAfter
+	b.steady = outageGrace
 	k.grant("boatyard").spent = k.grant("boatyard").allowed.Ceiling
 	b.steady += 1200 * time.Millisecond
 	go func() {
@@ -96,14 +96,14 @@
 	c := qt.New(t)
 	b := newBench(100_000)
 	b.steady = time.Minute
-	other := Figure{Seq: 1, Granted: 100_000}
-	b.store.Put("budget/account/boatyard", newRecord().With("lost-vm", "gone", other, nil).Encode())
+	other := GrantEntry{Seq: 1, Granted: 100_000}
+	b.store.Put("budget/account/boatyard", newRecord().WithEntry("lost-vm", "gone", other, nil).Encode())
 	k := b.keeper("p1", noPeers{})
 	k.round(context.Background(), true)
 	c.Assert(reserveError(k), qt.Equals, ErrContended)
 
 	other.Spent = 95_000
-	b.store.Put("budget/account/boatyard", newRecord().With("lost-vm", "gone", other, nil).Encode())
+	b.store.Put("budget/account/boatyard", newRecord().WithEntry("lost-vm", "gone", other, nil).Encode())
 	k = b.keeper("p2", noPeers{})
 	k.round(context.Background(), true)
 	c.Assert(reserveError(k), qt.Equals, ErrExhausted)
@@ -113,7 +113,7 @@
 	k.round(context.Background(), true)
 	p := k.grant("boatyard")
 	p.granted, p.allowed.Ceiling = 100_000, 100_000
-	p.record = newRecord().With("vm", "p3", Figure{Seq: 1, Granted: 100_000}, nil)
+	p.record = newRecord().WithEntry("vm", "p3", GrantEntry{Seq: 1, Granted: 100_000}, nil)
 	c.Assert(k.Lend("boatyard", 95_000, "waiter").Short, qt.Equals, NoShortage)
 	c.Assert(reserveError(k), qt.Equals, ErrContended, qt.Commentf("lent a moment ago"))
 	b.steady += 3 * lentLately
@@ -140,7 +140,7 @@
 	lend := func(tokens int64, waiter string) int64 {
 		return k.Lend("boatyard", tokens, waiter).Tokens
 	}
-	b.steady = openAfter + 200*time.Millisecond // 2,000 tokens are open
+	b.steady = outageGrace + 200*time.Millisecond // 2,000 tokens are open
 	c.Assert(lend(3_000, "first"), qt.Equals, int64(0))
 	c.Assert(lend(1_500, "second"), qt.Equals, int64(0))
 	c.Assert(lend(100, ""), qt.Equals, int64(0))
--- a/internal/escrow/record.go
+++ b/internal/escrow/record.go
@@ -15,8 +15,8 @@
 	"github.com/pkg/errors"
 )
 
-// Figure is what one router incarnation was granted.
-type Figure struct {
+// GrantEntry is what one router incarnation was granted.
+type GrantEntry struct {
 	// Seq counts the incarnation's writes; zero means that it has no figure.
 	Seq int64 `json:"seq"`
 	// Granted is the total of tokens given out to it.
@@ -34,38 +34,38 @@
 	// ClosedSpent is what they spent at least.
 	ClosedSpent int64 `json:"closed_spent"`
 	// Holders is by VM, then by incarnation.
-	Holders map[string]map[string]Figure `json:"holders"`
+	Holders map[string]map[string]GrantEntry `json:"holders"`
 }
 
 // recordFormat is the version of the stored forms.
 const recordFormat = 1
 
-// ErrRecord: a stored record can't be used. Nothing is granted on it.
-var ErrRecord = errors.New("escrow: unusable record")
+// ErrInvalidRecord: a stored record can't be used. Nothing is granted on it.
+var ErrInvalidRecord = errors.New("escrow: unusable record")
 
 // newRecord is the record of an account that was never granted anything.
 func newRecord() Record {
-	return Record{Format: recordFormat, Holders: map[string]map[string]Figure{}}
+	return Record{Format: recordFormat, Holders: map[string]map[string]GrantEntry{}}
 }
 
 // DecodeRecord reads a stored record.
 func DecodeRecord(data []byte) (Record, error) {
 	r := newRecord()
 	if err := json.Unmarshal(data, &r); err != nil {
-		return Record{}, errors.Wrap(ErrRecord, err.Error())
+		return Record{}, errors.Wrap(ErrInvalidRecord, err.Error())
 	}
 	if r.Format != recordFormat || r.Closed < 0 {
-		return Record{}, errors.Wrapf(ErrRecord, "format %d, closed %d", r.Format, r.Closed)
+		return Record{}, errors.Wrapf(ErrInvalidRecord, "format %d, closed %d", r.Format, r.Closed)
 	}
 	for _, incarnations := range r.Holders {
 		for _, f := range incarnations {
 			if f.Granted < 0 {
-				return Record{}, errors.Wrap(ErrRecord, "negative grant")
+				return Record{}, errors.Wrap(ErrInvalidRecord, "negative grant")
 			}
 		}
 	}
 	if r.Holders == nil {
-		r.Holders = map[string]map[string]Figure{}
+		r.Holders = map[string]map[string]GrantEntry{}
 	}
 	return r, nil
 }
@@ -79,17 +79,17 @@
 	return data
 }
 
-// Given is the tokens given out in all.
-func (r Record) Given() int64 {
+// TotalGranted is the tokens given out in all.
+func (r Record) TotalGranted() int64 {
 	sum := r.Closed
-	r.each(func(f Figure) { sum += f.Granted })
+	r.forEachEntry(func(f GrantEntry) { sum += f.Granted })
 	return sum
 }
 
-// SpentAtLeast is what was surely spent: the figures lag behind.
-func (r Record) SpentAtLeast() int64 {
+// MinSpent is what was surely spent: the figures lag behind.
+func (r Record) MinSpent() int64 {
 	sum := r.ClosedSpent
-	r.each(func(f Figure) { sum += f.Spent })
+	r.forEachEntry(func(f GrantEntry) { sum += f.Spent })
 	return sum
 }
 
@@ -111,7 +111,7 @@
 	return sum
 }
 
-func (r Record) each(visit func(Figure)) {
+func (r Record) forEachEntry(visit func(GrantEntry)) {
 	for _, incarnations := range r.Holders {
 		for _, f := range incarnations {
 			visit(f)
@@ -119,14 +119,14 @@
 	}
 }
 
-// Figure returns the figure of one incarnation.
-func (r Record) Figure(vm, incarnation string) Figure {
+// Entry returns the figure of one incarnation.
+func (r Record) Entry(vm, incarnation string) GrantEntry {
 	return r.Holders[vm][incarnation]
 }
 
-// Left says whether the record still lists incarnations of a VM other than the
+// HasOtherEntries says whether the record still lists incarnations of a VM other than the
 // present one.
-func (r Record) Left(vm, present string) bool {
+func (r Record) HasOtherEntries(vm, present string) bool {
 	for incarnation := range r.Holders[vm] {
 		if incarnation != present {
 			return true
@@ -135,31 +135,31 @@
 	return false
 }
 
-// MostSpent is the most that a dead incarnation can have spent of its grant.
-type MostSpent func(incarnation string, figure Figure) int64
+// MaxSpentFunc is the most that a dead incarnation can have spent of its grant.
+type MaxSpentFunc func(incarnation string, figure GrantEntry) int64
 
-// With returns a copy in which an incarnation has the given figure. Earlier
+// WithEntry returns a copy in which an incarnation has the given figure. Earlier
 // incarnations of the same VM are closed: their processes are gone.
-func (r Record) With(vm, incarnation string, f Figure, mostSpent MostSpent) Record {
-	next := r.closing(vm, incarnation, mostSpent)
-	next.Holders[vm] = map[string]Figure{incarnation: f}
+func (r Record) WithEntry(vm, incarnation string, f GrantEntry, mostSpent MaxSpentFunc) Record {
+	next := r.withoutVM(vm, incarnation, mostSpent)
+	next.Holders[vm] = map[string]GrantEntry{incarnation: f}
 	return next
 }
 
-// Without returns a copy in which an incarnation has stopped, having used exactly
+// WithoutEntry returns a copy in which an incarnation has stopped, having used exactly
 // used and returned the rest.
-func (r Record) Without(vm, incarnation string, used int64, mostSpent MostSpent) Record {
-	next := r.closing(vm, incarnation, mostSpent)
+func (r Record) WithoutEntry(vm, incarnation string, used int64, mostSpent MaxSpentFunc) Record {
+	next := r.withoutVM(vm, incarnation, mostSpent)
 	next.Closed += used
 	next.ClosedSpent += used
 	return next
 }
 
-// closing copies the record without the VM's figures; all of them but the present
+// withoutVM copies the record without the VM's figures; all of them but the present
 // incarnation's are closed.
-func (r Record) closing(vm, present string, mostSpent MostSpent) Record {
+func (r Record) withoutVM(vm, present string, mostSpent MaxSpentFunc) Record {
 	next := Record{Format: recordFormat, Closed: r.Closed, ClosedSpent: r.ClosedSpent,
-		Holders: make(map[string]map[string]Figure, len(r.Holders)+1)}
+		Holders: make(map[string]map[string]GrantEntry, len(r.Holders)+1)}
 	for name, incarnations := range r.Holders {
 		if name != vm {
 			next.Holders[name] = incarnations
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -62,7 +62,7 @@
 func (m *GrantManager) opensSoon() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.away && m.age() < openAfter+opensWithin
+	return m.away && m.age() < outageGrace+opensWithin
 }
 
 // pause waits; false if ctx ended first.
--- a/internal/escrow/statement.go
+++ b/internal/escrow/statement.go
@@ -56,13 +56,13 @@
 		kept[strings.TrimPrefix(item.Key, prefix)] = item.Value
 	}
 	record := newRecord()
-	if data, found := kept[AccountKeys+account]; found {
+	if data, found := kept[AccountKeyPrefix+account]; found {
 		var err error
 		if record, err = DecodeRecord(data); err != nil {
 			return Statement{}, err
 		}
 	}
-	s := Statement{Account: account, Spent: record.SpentAtLeast(), Free: max(0, prepaid-record.Given()),
+	s := Statement{Account: account, Spent: record.MinSpent(), Free: max(0, prepaid-record.TotalGranted()),
 		InDoubt: record.Closed - record.ClosedSpent, Holdings: []Holding{}}
 	for vm, incarnations := range record.Holders {
 		for incarnation, figure := range incarnations {
@@ -77,15 +77,15 @@
 }
 
 // holdingOf adds to a figure what the VM's ledger and contact lease tell.
-func holdingOf(kept map[string][]byte, account, vm, incarnation string, f Figure) Holding {
+func holdingOf(kept map[string][]byte, account, vm, incarnation string, f GrantEntry) Holding {
 	h := Holding{VM: vm, Incarnation: incarnation, State: HolderSilent, Granted: f.Granted, Spent: f.Spent, Ceiling: f.Granted}
-	switch contact, found := kept[contactKeys+vm]; {
+	switch contact, found := kept[contactKeyPrefix+vm]; {
 	case found && string(contact) == incarnation:
 		h.State = HolderInContact
 	case found:
 		h.State = HolderReplaced
 	}
-	ledger, err := DecodeLedger(kept[ledgerKeys+vm])
+	ledger, err := DecodeLedger(kept[ledgerKeyPrefix+vm])
 	if err != nil || ledger.Incarnation != incarnation {
 		return h // another process's ledger, or none that can be read, tells nothing of it
 	}
--- a/internal/escrow/statement_test.go
+++ b/internal/escrow/statement_test.go
@@ -12,7 +12,7 @@
 // statementItems are the stored items of a budget with a router in contact, one whose process
 // was replaced, and one that nothing is heard of.
 func statementItems(at time.Time) []store.Item {
-	record := Record{Format: recordFormat, Closed: 300, ClosedSpent: 200, Holders: map[string]map[string]Figure{
+	record := Record{Format: recordFormat, Closed: 300, ClosedSpent: 200, Holders: map[string]map[string]GrantEntry{
 		"vm-1": {"p1": {Seq: 1, Granted: 400, Spent: 150}},
 		"vm-2": {"p2": {Seq: 1, Granted: 100, Spent: 50}},
 		"vm-3": {"p3": {Seq: 1, Granted: 50, Spent: 10}},
@@ -50,5 +50,5 @@
 func TestStatementOfASpoiledRecordIsAnError(t *testing.T) {
 	items := []store.Item{{Key: "budget/account/boatyard", Value: []byte(`{"format":7}`)}}
 	_, err := StatementOf(items, "budget/", "boatyard", 1000)
-	qt.Assert(t, err, qt.ErrorIs, ErrRecord)
+	qt.Assert(t, err, qt.ErrorIs, ErrInvalidRecord)
 }
--- a/internal/escrow/stop.go
+++ b/internal/escrow/stop.go
@@ -43,14 +43,14 @@
 	defer m.mu.Unlock()
 	d := draw{}
 	for _, p := range m.grants {
-		if !p.decided || p.record.Figure(m.o.VM, m.o.Incarnation).Seq == 0 || len(d.grants) == txnAccounts {
+		if !p.decided || p.record.Entry(m.o.VM, m.o.Incarnation).Seq == 0 || len(d.grants) == txnAccounts {
 			continue
 		}
 		used := max(0, min(p.granted, p.used()))
 		p.granted = min(p.granted, used)
 		d.pendingAt = append(d.pendingAt, p.pendingAt)
 		d.grants = append(d.grants, p)
-		d.put(m.accountKey(p), p.revision, p.record.Without(m.o.VM, m.o.Incarnation, used, m.mostSpent(&d, p)))
+		d.put(m.accountKey(p), p.revision, p.record.WithoutEntry(m.o.VM, m.o.Incarnation, used, m.mostSpent(&d, p)))
 	}
 	return d, len(d.grants) > 0
 }
@@ -68,7 +68,7 @@
 	if errors.Is(err, store.ErrUnavailable) {
 		for i, p := range d.grants { // nothing was done: the grants are still here
 			p.pendingAt = d.pendingAt[i]
-			p.learned(p.record, p.revision, p.record.Figure(m.o.VM, m.o.Incarnation))
+			p.learned(p.record, p.revision, p.record.Entry(m.o.VM, m.o.Incarnation))
 		}
 	}
 	if err != nil {
--- a/internal/escrow/stored_test.go
+++ b/internal/escrow/stored_test.go
@@ -13,16 +13,16 @@
 func TestRecordsKeepTheirStoredForm(t *testing.T) {
 	wireform.Compare(t, "stored.golden", []string{
 		fmt.Sprintf("format %d", recordFormat),
-		"keys " + AccountKeys + " " + ledgerKeys + " " + contactKeys,
+		"keys " + AccountKeyPrefix + " " + ledgerKeyPrefix + " " + contactKeyPrefix,
 		"record " + wireform.JSON(reflect.TypeFor[Record]()),
 		"ledger " + wireform.JSON(reflect.TypeFor[Ledger]()),
 		"statement " + wireform.JSON(reflect.TypeFor[Statement]()),
 		"state in contact: " + string(HolderInContact),
 		"state replaced: " + string(HolderReplaced),
 		"state silent: " + string(HolderSilent),
-		"judged by steady clock: " + string(BySteadyClock),
-		"judged by contact lease: " + string(ByContactLease),
-		"judged by time of day: " + string(ByTimeOfDay),
-		"judged by grant: " + string(ByGrant),
+		"judged by steady clock: " + string(BasisSteadyClock),
+		"judged by contact lease: " + string(BasisContactLease),
+		"judged by time of day: " + string(BasisTimeOfDay),
+		"judged by grant: " + string(BasisGrant),
 	})
 }
--- a/internal/operate/budgets.go
+++ b/internal/operate/budgets.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	prefix := node.BudgetPrefix + escrow.AccountKeys
+	prefix := node.BudgetPrefix + escrow.AccountKeyPrefix
 	snapshot, err := s.Read(ctx, prefix)
 	if err != nil {
 		return nil, err
@@ -71,7 +71,7 @@
 		name := string(d.Contracts[i].Account)
 		record := records[name]
 		budgets = append(budgets, Budget{Account: name, Prepaid: int64(d.Contracts[i].Prepaid),
-			Spent: record.SpentAtLeast(), Granted: record.Given(), Holders: len(record.Holders)})
+			Spent: record.MinSpent(), Granted: record.TotalGranted(), Holders: len(record.Holders)})
 	}
 	sort.Slice(budgets, func(i, j int) bool { return budgets[i].Account < budgets[j].Account })
 	return budgets, nil
