--- a/cmd/chicory-edge/main.go
+++ b/cmd/chicory-edge/main.go
@@ -13,26 +13,26 @@
 
 func main() {
 	daemon.Program{
-		Name:    "chicory-edge",
-		Help:    "Router between callers and backend servers on the users' platform, on prepaid token budgets.",
-		Dialect: dialect,
+		Name:        "chicory-edge",
+		Help:        "Router between callers and backend servers on the users' platform, on prepaid token budgets.",
+		Environment: environment,
 	}.Main()
 }
 
-func dialect(settings *node.Settings, clock func() escrow.ClockReading, _ *event.Log) node.Environment {
+func environment(settings *node.Settings, clock func() escrow.ClockReading, _ *event.Log) node.Environment {
 	return node.Environment{
-		Store:            platform.NewStore(settings.StoreAddr),
-		Clock:            clock,
-		Now:              store.BootNow,
-		ConfigPrefix:     platform.ConfigPrefix,
-		IsConfig:         platform.IsConfig,
-		DecodeConfig:     platform.DecodeConfig,
-		EvacuatedDomain:  platform.EvacuatedDomain,
-		ServersPrefix:    platform.ServersPrefix,
-		DecodeServer:     fleet.DecodeEntry(platform.DecodeServer),
-		Codec:            platform.ServerCodec,
-		CallerHandler:    platform.Front,
-		DirectoryHandler: platform.Directory,
-		ReadyHandler:     platform.Ready,
+		Store:           platform.NewStore(settings.Store),
+		Clock:           clock,
+		Now:             store.BootNow,
+		ConfigPrefix:    platform.ConfigPrefix,
+		IsConfig:        platform.IsConfig,
+		DecodeConfig:    platform.DecodeConfig,
+		EvacuatedDomain: platform.EvacuatedDomain,
+		ServersPrefix:   platform.ServersPrefix,
+		DecodeServer:    fleet.DecodeEntry(platform.DecodeServer),
+		Codec:           platform.ServerCodec,
+		Front:           platform.Front,
+		Directory:       platform.Directory,
+		Ready:           platform.Ready,
 	}
 }
--- a/cmd/chicory-router/main.go
+++ b/cmd/chicory-router/main.go
@@ -15,8 +15,8 @@
 	daemon.Program{
 		Name: "chicory-router",
 		Help: "Router between callers and backend servers, on prepaid token budgets.",
-		Dialect: func(settings *node.Settings, clock func() escrow.ClockReading, log *event.Log) node.Environment {
-			return native.Dialect(platform.NewStore(settings.StoreAddr), clock, log)
+		Environment: func(settings *node.Settings, clock func() escrow.ClockReading, log *event.Log) node.Environment {
+			return native.Environment(platform.NewStore(settings.Store), clock, log)
 		},
 	}.Main()
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -55,8 +55,8 @@
 // Program is one router program.
 type Program struct {
 	Name, Help string
-	// Dialect is how it speaks with its surroundings.
-	Dialect func(settings *node.Settings, clock func() escrow.ClockReading, log *event.Log) node.Environment
+	// Environment is how it speaks with its surroundings.
+	Environment func(settings *node.Settings, clock func() escrow.ClockReading, log *event.Log) node.Environment
 }
 
 // Main runs the program with the command line's arguments and ends the process.
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	n := node.New(settings, p.Dialect(settings, clock, log), log, incarnation)
+	n := node.New(settings, p.Environment(settings, clock, log), log, incarnation)
 	tasks.Go(func() { watchSettings(logging, file, n, log) })
 	if err := n.Listen(); err != nil {
 		return err
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -54,7 +54,7 @@
 }
 
 func (n *Node) serversFollower() *store.Follower {
-	drain := max(n.settings.DrainTime, drainLeast)
+	drain := max(n.settings.Drain, drainLeast)
 	part := func(share float64) time.Duration { return time.Duration(share * float64(drain)) }
 	return &store.Follower{Prefix: n.dialect.ServersPrefix, Sink: n.registry,
 		Wait: part(serversWaitPart), Pause: part(serversPausePart), CheckAfter: part(serversCheckPart),
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -42,10 +42,10 @@
 		address *string
 		handler http.Handler
 	}{
-		{&n.settings.CallerAddr, n.dialect.CallerHandler(n.forCallers())},
-		{&n.settings.ReadyAddr, n.dialect.ReadyHandler(n.Ready)},
-		{&n.settings.DirectoryAddr, n.dialect.DirectoryHandler(n.resolve, n.settings.EntryTTL)},
-		{&n.settings.MetricsAddr, n.metrics.Handler()},
+		{&n.settings.Callers, n.dialect.Front(n.forCallers())},
+		{&n.settings.Ready, n.dialect.Ready(n.Ready)},
+		{&n.settings.Directory, n.dialect.Directory(n.resolve, n.settings.EntryTTL)},
+		{&n.settings.Metrics, n.metrics.Handler()},
 	}
 	for _, h := range handlers {
 		l, err := listenOn(h.address)
@@ -58,7 +58,7 @@
 		n.listeners = append(n.listeners, &listener{net: l, server: server, log: n.log})
 	}
 	var err error
-	if n.peerListener, err = listenOn(&n.settings.PeerAddr); err != nil {
+	if n.peerListener, err = listenOn(&n.settings.Peers); err != nil {
 		n.closeListeners()
 	}
 	return err
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -26,7 +26,7 @@
 	n.keeper.StopAccepting()
 	close(n.stopNotice)
 	n.log.Emit(event.DrainStarted, slog.Int64("in_hand", n.inHand.Load()))
-	end := began.Add(n.settings.GracePeriod - returnTime)
+	end := began.Add(n.settings.Grace - returnTime)
 	for time.Now().Before(end) {
 		if time.Since(began) > lingerLeast && n.inHand.Load() == 0 {
 			break
