--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -48,8 +48,8 @@
 	// ProbeDue reports whether the next request should go to a server whatever its estimate,
 	// to learn whether the server still announces its limit.
 	ProbeDue(*fleet.Server) bool
-	// RetryAfter returns the time after which another request to a paced server makes sense.
-	RetryAfter(*fleet.Server) time.Duration
+	// Delay returns the time after which another request to a paced server makes sense.
+	Delay(*fleet.Server) time.Duration
 }
 
 // Chooser chooses servers. It is safe for concurrent use.
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -104,11 +104,11 @@
 // warm bounds nothing: no server is cold.
 type warm struct{}
 
-func (warm) Paced(*fleet.Server) bool               { return false }
-func (warm) CanAcquire(*fleet.Server) bool          { return true }
-func (warm) TryAcquire(*fleet.Server) bool          { return true }
-func (warm) ProbeDue(*fleet.Server) bool            { return false }
-func (warm) RetryAfter(*fleet.Server) time.Duration { return 0 }
+func (warm) Paced(*fleet.Server) bool          { return false }
+func (warm) CanAcquire(*fleet.Server) bool     { return true }
+func (warm) TryAcquire(*fleet.Server) bool     { return true }
+func (warm) ProbeDue(*fleet.Server) bool       { return false }
+func (warm) Delay(*fleet.Server) time.Duration { return 0 }
 
 // permits is how many requests each cold server may get.
 type permits map[*fleet.Server]int
@@ -122,7 +122,7 @@
 
 func (p permits) ProbeDue(*fleet.Server) bool { return false }
 
-func (p permits) RetryAfter(s *fleet.Server) time.Duration { return s.ColdFor(time.Now()) }
+func (p permits) Delay(s *fleet.Server) time.Duration { return s.ColdFor(time.Now()) }
 
 func (p permits) TryAcquire(s *fleet.Server) bool {
 	p[s]--
@@ -172,7 +172,7 @@
 	list[1].Chill(time.Now(), time.Hour)
 	out := NewChooser("zone-1", permits{list[0]: 0, list[1]: 0}, nil).Outlook(list)
 	qt.Assert(t, out.Obstacle, qt.Equals, AllCold)
-	qt.Assert(t, out.Wait > 50*time.Second && out.Wait <= time.Minute, qt.IsTrue, qt.Commentf("%v", out.Wait))
+	qt.Assert(t, out.Delay > 50*time.Second && out.Delay <= time.Minute, qt.IsTrue, qt.Commentf("%v", out.Delay))
 	qt.Assert(t, obstacle(permits{list[0]: 0, list[1]: 1}), qt.Equals, Free)
 	list[0].Evacuate(true)
 	qt.Assert(t, obstacle(warm{}), qt.Equals, Free)
--- a/internal/balance/obstacle.go
+++ b/internal/balance/obstacle.go
@@ -27,8 +27,8 @@
 // Outlook is whether a service's servers can take a request now.
 type Outlook struct {
 	Obstacle Obstacle
-	// Wait is the time after which another try makes sense; only for AllCold and AllLimited.
-	Wait time.Duration
+	// Delay is the time after which another try makes sense; only for AllCold and AllLimited.
+	Delay time.Duration
 	// Scarce: one may take it, but all that may bear few requests.
 	Scarce bool
 }
@@ -50,9 +50,9 @@
 		case c.pacer.CanAcquire(s):
 			out.Scarce = true
 		default:
-			wait := c.pacer.RetryAfter(s)
-			if !bounded || wait < out.Wait {
-				out.Wait = wait
+			wait := c.pacer.Delay(s)
+			if !bounded || wait < out.Delay {
+				out.Delay = wait
 			}
 			if out.Obstacle != AllLimited {
 				out.Obstacle = AllCold
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -70,9 +70,9 @@
 	Chooser *balance.Chooser
 	// RateLimits takes what servers say of the requests that they take.
 	RateLimits *pacing.Limits
-	// Yield keeps places at servers that bear few requests for urgent ones.
-	Yield   *pacing.PriorityGate
-	Backend Exchanger
+	// PriorityGate keeps places at servers that bear few requests for urgent ones.
+	PriorityGate *pacing.PriorityGate
+	Backend      Exchanger
 	// Limits holds accounts to their contracts.
 	Limits  *limit.Limiter
 	Log     *event.Log
@@ -93,7 +93,7 @@
 		return
 	}
 	defer done()
-	f.Retries.RecordRequest(r.Service)
+	f.Retries.Request(r.Service)
 	if refusal := f.obstacle(r); refusal != nil {
 		f.refuse(r, caller, *refusal, p, nil)
 		return
@@ -145,7 +145,7 @@
 	out := f.Chooser.Outlook(f.Servers(r.Service))
 	switch out.Obstacle {
 	case balance.Free:
-		if out.Scarce && f.Yield.ShouldYield(r.Service, r.Urgency()) {
+		if out.Scarce && f.PriorityGate.ShouldYield(r.Service, r.Urgency()) {
 			return &Refusal{Cause: Limited, RetryAfter: retryLater}
 		}
 	case balance.NoServers:
@@ -153,11 +153,11 @@
 	case balance.AllEvacuated:
 		return &Refusal{Cause: Evacuated, RetryAfter: retryLater}
 	case balance.AllCold:
-		f.Yield.RecordRefusal(r.Service, r.Urgency())
-		return &Refusal{Cause: Cold, RetryAfter: max(retrySoon, out.Wait)}
+		f.PriorityGate.RecordRefusal(r.Service, r.Urgency())
+		return &Refusal{Cause: Cold, RetryAfter: max(retrySoon, out.Delay)}
 	case balance.AllLimited:
-		f.Yield.RecordRefusal(r.Service, r.Urgency())
-		return &Refusal{Cause: Limited, RetryAfter: max(retrySoon, out.Wait)}
+		f.PriorityGate.RecordRefusal(r.Service, r.Urgency())
+		return &Refusal{Cause: Limited, RetryAfter: max(retrySoon, out.Delay)}
 	}
 	return nil
 }
@@ -169,7 +169,7 @@
 		return func() {}, nil
 	}
 	c := r.Account.Contract
-	done, wait, ok := f.Limits.Admit(r.Account.Name, limit.Limits{PerSecond: c.RequestsPerSecond, Burst: c.Burst, Concurrency: c.Concurrency})
+	done, wait, ok := f.Limits.Admit(r.Account.Name, limit.Limits{PerSecond: c.RequestsPerSecond, Burst: c.Burst, InFlight: c.Concurrency})
 	if !ok {
 		return nil, &Refusal{Cause: TooMany, RetryAfter: wait}
 	}
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -10,9 +10,9 @@
 
 // Limits of one account over the whole fleet.
 type Limits struct {
-	PerSecond   float64
-	Burst       int // requests that may come at once beyond the rate
-	Concurrency int // requests in flight
+	PerSecond float64
+	Burst     int // requests that may come at once beyond the rate
+	InFlight  int // requests in flight
 }
 
 // headroom is how many times its equal share a router admits: callers stay with few
@@ -50,7 +50,7 @@
 	share := min(1, headroom/float64(max(1, l.routers())))
 	rate := limits.PerSecond * share
 	burst := max(1, float64(limits.Burst)*share)
-	atOnce := max(1, int(float64(limits.Concurrency)*share))
+	atOnce := max(1, int(float64(limits.InFlight)*share))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(name, rate, burst)
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -151,7 +151,7 @@
 		return false
 	}
 	if content, err := strconv.ParseUint(hash, 16, 64); err == nil {
-		n.held.Add(content)
+		n.held.Insert(content)
 	}
 	return true
 }
--- a/internal/node/limits_bench_test.go
+++ b/internal/node/limits_bench_test.go
@@ -27,9 +27,9 @@
 				list[i] = fleet.NewServer(fleet.Entry{ID: fmt.Sprint("server-", i)})
 			}
 			for i := range limited {
-				n.limits.ObserveResponse(list[i], fleet.RateLimit{State: fleet.LimitNamed, PerSecond: 1.2}, time.Now())
+				n.limits.Answered(list[i], fleet.RateLimit{State: fleet.LimitNamed, PerSecond: 1.2}, time.Now())
 			}
-			limiter := &pacing.Limiter{ColdRate: n.coldRate, Rank: n.placeFor, Limits: n.limits, Now: time.Now}
+			limiter := &pacing.Limiter{ColdRate: n.coldRate, SenderRank: n.placeFor, Limits: n.limits, Now: time.Now}
 			chooser := balance.NewChooser("zone-1", limiter, nil)
 			r := &request.Request{HasUsage: true, PromptTokens: 1000, Parts: []request.Part{{ID: "shared", Tokens: 500}, {ID: "own", Tokens: 500}}}
 			for b.Loop() {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -120,7 +120,7 @@
 	evacuated  *fleet.Evacuations
 	members    *fleet.Members
 	rankings   rankings[[]string]    // holders of accounts
-	places     rankings[pacing.Rank] // of this router, by start of a backend server
+	places     rankings[pacing.SenderRank] // of this router, by start of a backend server
 	limits     *pacing.Limits
 	listing    listing
 	keeper     *escrow.GrantManager
@@ -165,7 +165,7 @@
 	})
 	n.limits = pacing.NewLimits(log, nil)
 	n.metrics.watchLimits(n.limits.Count)
-	pacer := &pacing.Limiter{ColdRate: n.coldRate, Rank: n.placeFor, Limits: n.limits, Now: time.Now}
+	pacer := &pacing.Limiter{ColdRate: n.coldRate, SenderRank: n.placeFor, Limits: n.limits, Now: time.Now}
 	n.forward = &forward.Forwarder{
 		Policy:     n.policy.Load,
 		Servers:    func(service string) []*fleet.Server { return n.registry.View().ByService[service] },
@@ -175,7 +175,7 @@
 		Report:     n.report,
 		Chooser:    balance.NewChooser(s.FailureDomain, pacer, nil),
 		RateLimits: n.limits,
-		Yield:      &pacing.PriorityGate{Now: time.Now},
+		PriorityGate:      &pacing.PriorityGate{Now: time.Now},
 		Backend:    n.client,
 		Limits:     limit.New(n.routers, nil),
 		Log:        log,
--- a/internal/node/warm.go
+++ b/internal/node/warm.go
@@ -74,17 +74,17 @@
 
 // placeFor is this router's rank among all that send to a server that bears few requests, by
 // the server's start.
-func (n *Node) placeFor(start string) pacing.Rank {
+func (n *Node) placeFor(start string) pacing.SenderRank {
 	if n.stopping.Load() || !n.listing.sure(n.now()) {
-		return pacing.Rank{}
+		return pacing.SenderRank{}
 	}
 	members, version := n.members.Listed()
-	return n.places.get(rankedFrom{version: version}, start, func() pacing.Rank { return n.place(members, "sends to "+start) })
+	return n.places.get(rankedFrom{version: version}, start, func() pacing.SenderRank { return n.place(members, "sends to "+start) })
 }
 
 // place works out this router's rank for a key.
-func (n *Node) place(members []fleet.Member, key string) pacing.Rank {
-	place := pacing.Rank{Total: 1, Valid: true}
+func (n *Node) place(members []fleet.Member, key string) pacing.SenderRank {
+	place := pacing.SenderRank{Total: 1, Valid: true}
 	own := n.self().Rank(key)
 	for _, m := range members {
 		if m.Name == n.settings.VM || m.Peer == "" {
--- a/internal/pacing/cold_test.go
+++ b/internal/pacing/cold_test.go
@@ -24,7 +24,7 @@
 		}
 		clock := func() time.Time { return *now }
 		list[i] = &Limiter{ColdRate: func(string) float64 { return testRate }, Limits: NewLimits(event.Discard(), clock), Now: clock,
-			Rank: func(string) Rank { return Rank{Position: ahead, Total: n, Valid: true} }}
+			SenderRank: func(string) SenderRank { return SenderRank{Position: ahead, Total: n, Valid: true} }}
 	}
 	return list
 }
--- a/internal/pacing/fleet_test.go
+++ b/internal/pacing/fleet_test.go
@@ -112,7 +112,7 @@
 	w.run(8 * time.Second)
 	for _, r := range w.routers {
 		if place := w.place(r); place.Position < senders(1.2) {
-			r.limiter.Rank = func(string) Rank { return Rank{} } // it never asks
+			r.limiter.SenderRank = func(string) SenderRank { return SenderRank{} } // it never asks
 		}
 	}
 	w.name(-1)
--- a/internal/pacing/limiter.go
+++ b/internal/pacing/limiter.go
@@ -41,8 +41,8 @@
 	waitMost = 10 * time.Second
 )
 
-// Rank is where this router stands among all routers for a server.
-type Rank struct {
+// SenderRank is where this router stands among all routers for a server.
+type SenderRank struct {
 	Position int // routers before it in rank
 	Total    int // routers in rank
 	// Valid: all other routers know this one, and this one them, as of late.
@@ -54,8 +54,8 @@
 type Limiter struct {
 	// ColdRate is the requests a second that a cold server of a service bears; 0: no bound.
 	ColdRate func(service string) float64
-	// Rank is this router's rank for a server, by the server's start.
-	Rank func(start string) Rank
+	// SenderRank is this router's rank for a server, by the server's start.
+	SenderRank func(start string) SenderRank
 	// Limits are those that servers named.
 	Limits *Limits
 	// Now is the clock.
@@ -69,7 +69,7 @@
 
 // placeAt is a rank and when it was looked up.
 type placeAt struct {
-	Rank
+	SenderRank
 	at time.Time
 }
 
@@ -133,7 +133,7 @@
 }
 
 // Wait is the time after which another request to a bounded server makes sense.
-func (l *Limiter) RetryAfter(s *fleet.Server) time.Duration {
+func (l *Limiter) Delay(s *fleet.Server) time.Duration {
 	now := l.Now()
 	wait := time.Duration(0)
 	if l.isCold(s) {
@@ -154,17 +154,17 @@
 }
 
 // place is this router's rank as of a moment ago; the limiter is locked.
-func (l *Limiter) place(start string, now time.Time) Rank {
+func (l *Limiter) place(start string, now time.Time) SenderRank {
 	known, found := l.places[start]
 	if found && now.Sub(known.at) < placeKept {
-		return known.Rank
+		return known.SenderRank
 	}
 	if l.places == nil || len(l.places) >= limitsMost {
 		l.places = make(map[string]placeAt)
 	}
-	known = placeAt{Rank: l.Rank(start), at: now}
+	known = placeAt{SenderRank: l.SenderRank(start), at: now}
 	l.places[start] = known
-	return known.Rank
+	return known.SenderRank
 }
 
 // senders is how many routers send to a server with a limit, each its part of the limit. With
@@ -177,7 +177,7 @@
 
 // isSender says whether this router is one of those that send to a limited server. It never
 // is before the limit is recorded, since the routers take turns by the age of the record.
-func (l *Limiter) isSender(limit Limit, place Rank, now time.Time) bool {
+func (l *Limiter) isSender(limit Limit, place SenderRank, now time.Time) bool {
 	if !place.Valid || limit.RecordedAt.IsZero() {
 		return false
 	}
@@ -189,7 +189,7 @@
 
 // bucket returns the allowance of a limited server as of now; nil: this router sends it
 // nothing. The limiter is locked.
-func (l *Limiter) bucket(start string, limit Limit, place Rank, now time.Time) *bucket {
+func (l *Limiter) bucket(start string, limit Limit, place SenderRank, now time.Time) *bucket {
 	if !l.isSender(limit, place, now) {
 		delete(l.buckets, start)
 		return nil
--- a/internal/pacing/limits.go
+++ b/internal/pacing/limits.go
@@ -94,8 +94,8 @@
 	return len(*l.view.Load())
 }
 
-// ObserveResponse takes what an answer to a request says, and when that request was sent.
-func (l *Limits) ObserveResponse(s *fleet.Server, said fleet.RateLimit, sent time.Time) {
+// Answered takes what an answer to a request says, and when that request was sent.
+func (l *Limits) Answered(s *fleet.Server, said fleet.RateLimit, sent time.Time) {
 	if _, limited := l.Lookup(s.Start); said.State == fleet.LimitUnreadable || said.State == fleet.LimitAbsent && !limited {
 		return
 	}
--- a/internal/pacing/limits_test.go
+++ b/internal/pacing/limits_test.go
@@ -15,7 +15,7 @@
 type fixture struct {
 	*qt.C
 	now     time.Time
-	place   Rank
+	place   SenderRank
 	server  *fleet.Server
 	limits  *Limits
 	limiter *Limiter
@@ -23,14 +23,14 @@
 }
 
 func newFixture(t *testing.T) *fixture {
-	f := &fixture{C: qt.New(t), now: time.Unix(1000, 0), place: Rank{Total: 9, Valid: true}, server: fleet.NewServer(fleet.Entry{ID: "s"})}
+	f := &fixture{C: qt.New(t), now: time.Unix(1000, 0), place: SenderRank{Total: 9, Valid: true}, server: fleet.NewServer(fleet.Entry{ID: "s"})}
 	clock := func() time.Time { return f.now }
 	f.limits = NewLimits(event.Discard(), clock)
-	f.limiter = &Limiter{ColdRate: func(string) float64 { return 0 }, Limits: f.limits, Now: clock, Rank: f.rank}
+	f.limiter = &Limiter{ColdRate: func(string) float64 { return 0 }, Limits: f.limits, Now: clock, SenderRank: f.rank}
 	return f
 }
 
-func (f *fixture) rank(string) Rank { return f.place }
+func (f *fixture) rank(string) SenderRank { return f.place }
 
 // rankAt gives the router another rank, and the time to notice it.
 func (f *fixture) rankAt(ahead int) {
@@ -40,7 +40,7 @@
 
 // answer is an answer to a request that was sent some time before.
 func (f *fixture) answer(said fleet.RateLimit, took time.Duration) {
-	f.limits.ObserveResponse(f.server, said, f.now.Add(-took))
+	f.limits.Answered(f.server, said, f.now.Add(-took))
 }
 
 func (f *fixture) hear(perSecond float64) {
@@ -192,13 +192,13 @@
 func TestWaitIsTheTimeOfTheNextPlace(t *testing.T) {
 	f := newFixture(t)
 	f.record(Record{PerSecond: 0.5})
-	f.Assert(f.limiter.RetryAfter(f.server), qt.Equals, 2*time.Second)
+	f.Assert(f.limiter.Delay(f.server), qt.Equals, 2*time.Second)
 	f.record(Record{PerSecond: 0})
-	f.Assert(f.limiter.RetryAfter(f.server), qt.Equals, waitMost)
+	f.Assert(f.limiter.Delay(f.server), qt.Equals, waitMost)
 	f.record(Record{PerSecond: 100})
 	f.pass(time.Second)
 	f.Assert(f.limiter.CanAcquire(f.server), qt.IsTrue)
-	f.Assert(f.limiter.RetryAfter(f.server), qt.Equals, time.Duration(0))
+	f.Assert(f.limiter.Delay(f.server), qt.Equals, time.Duration(0))
 }
 
 // Guards against few places that go to whoever asks most often.
--- a/internal/pacing/pending.go
+++ b/internal/pacing/pending.go
@@ -39,7 +39,7 @@
 
 // NextWrite returns a record that is due to be written, or nil and the time after which to ask
 // again; zero: not before Wake. place tells this router's rank for a server.
-func (l *Limits) NextWrite(place func(start string) Rank) (*Record, time.Duration) {
+func (l *Limits) NextWrite(place func(start string) SenderRank) (*Record, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
@@ -64,7 +64,7 @@
 }
 
 // due is when this router writes the record, if it wants one.
-func (k *limit) due(now time.Time, place func(start string) Rank) (due time.Time, wanted bool) {
+func (k *limit) due(now time.Time, place func(start string) SenderRank) (due time.Time, wanted bool) {
 	if !k.wantsRecord(now) {
 		k.pending = pending{}
 		if k.wantsConfirming() {
--- a/internal/pacing/world_test.go
+++ b/internal/pacing/world_test.go
@@ -114,7 +114,7 @@
 	r.lag = time.Duration(w.random.Int64N(int64(viewOld)))
 	r.limits = NewLimits(event.Discard(), clock)
 	r.limiter = &Limiter{ColdRate: func(string) float64 { return 0 }, Limits: r.limits, Now: clock,
-		Rank: func(string) Rank { return w.place(r) }}
+		SenderRank: func(string) SenderRank { return w.place(r) }}
 }
 
 // list changes who is in the list of routers from a moment on.
@@ -146,9 +146,9 @@
 }
 
 // place ranks a router by the list that it knows.
-func (w *world) place(r *simRouter) Rank {
+func (w *world) place(r *simRouter) SenderRank {
 	if w.storeDown {
-		return Rank{}
+		return SenderRank{}
 	}
 	known := w.changes[0]
 	for _, c := range w.changes {
@@ -158,9 +158,9 @@
 	}
 	since, listed := known.listed[r.index]
 	if !listed || w.now.Sub(since) < listedFor {
-		return Rank{}
+		return SenderRank{}
 	}
-	return Rank{Position: known.ahead[r.index], Total: len(known.listed), Valid: true}
+	return SenderRank{Position: known.ahead[r.index], Total: len(known.listed), Valid: true}
 }
 
 // name makes the server name a limit from now on; below zero: none.
@@ -209,7 +209,7 @@
 		case a.at.After(w.now):
 			rest = append(rest, a)
 		case a.life == a.router.limits && a.router.alive:
-			a.life.ObserveResponse(w.server, a.said, a.sent)
+			a.life.Answered(w.server, a.said, a.sent)
 			if a.said.State == fleet.LimitNamed && !a.sent.Before(w.named) && a.router.told.IsZero() {
 				a.router.told = w.now
 			}
@@ -223,7 +223,7 @@
 	if w.storeDown {
 		return
 	}
-	record, _ := r.limits.NextWrite(func(string) Rank { return w.place(r) })
+	record, _ := r.limits.NextWrite(func(string) SenderRank { return w.place(r) })
 	if record == nil {
 		return
 	}
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -52,8 +52,8 @@
 	b.limits, b.routers = limits, max(1, routers)
 }
 
-// RecordRequest counts a caller's request for a service.
-func (b *Budget) RecordRequest(service string) {
+// Request counts a caller's request for a service.
+func (b *Budget) Request(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
--- a/internal/retry/quarantine.go
+++ b/internal/retry/quarantine.go
@@ -59,8 +59,8 @@
 	return s.count
 }
 
-// Add brings a content into quarantine at once, on another router's word.
-func (q *Quarantine) Add(content uint64) {
+// Insert brings a content into quarantine at once, on another router's word.
+func (q *Quarantine) Insert(content uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.now()
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -30,7 +30,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			b := budgets[rapid.IntRange(0, routers-1).Draw(t, "router")]
 			for i := rapid.IntRange(0, 5).Draw(t, "requests"); i > 0; i-- {
-				b.RecordRequest("engines")
+				b.Request("engines")
 				requests = append(requests, now)
 			}
 			for b.TryAcquire("engines") {
@@ -67,7 +67,7 @@
 	now = now.Add(suspectKept)
 	qt.Assert(t, q.Contains(7), qt.IsFalse)
 
-	q.Add(9)
+	q.Insert(9)
 	qt.Assert(t, q.Contains(9), qt.IsTrue)
 }
 
