--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -119,7 +119,7 @@
 	registry   *fleet.Registry
 	evacuated  *fleet.Evacuations
 	members    *fleet.Members
-	rankings   rankings[[]string]    // holders of accounts
+	rankings   rankings[[]string]          // holders of accounts
 	places     rankings[pacing.SenderRank] // of this router, by start of a backend server
 	limits     *pacing.Limits
 	listing    listing
@@ -167,19 +167,19 @@
 	n.metrics.watchLimits(n.limits.Count)
 	pacer := &pacing.Limiter{ColdRate: n.coldRate, SenderRank: n.placeFor, Limits: n.limits, Now: time.Now}
 	n.forward = &forward.Forwarder{
-		Policy:     n.policy.Load,
-		Servers:    func(service string) []*fleet.Server { return n.registry.View().ByService[service] },
-		Budget:     n.keeper,
-		Retries:    n.retries,
-		Quarantine: n.held,
-		Report:     n.report,
-		Chooser:    balance.NewChooser(s.FailureDomain, pacer, nil),
-		RateLimits: n.limits,
-		PriorityGate:      &pacing.PriorityGate{Now: time.Now},
-		Backend:    n.client,
-		Limits:     limit.New(n.routers, nil),
-		Log:        log,
-		Metrics:    n.metrics,
+		Policy:       n.policy.Load,
+		Servers:      func(service string) []*fleet.Server { return n.registry.View().ByService[service] },
+		Budget:       n.keeper,
+		Retries:      n.retries,
+		Quarantine:   n.held,
+		Report:       n.report,
+		Chooser:      balance.NewChooser(s.FailureDomain, pacer, nil),
+		RateLimits:   n.limits,
+		PriorityGate: &pacing.PriorityGate{Now: time.Now},
+		Backend:      n.client,
+		Limits:       limit.New(n.routers, nil),
+		Log:          log,
+		Metrics:      n.metrics,
 	}
 	return n
 }
