--- a/internal/escrow/ceiling_test.go
+++ b/internal/escrow/ceiling_test.go
@@ -128,13 +128,13 @@
 	k.noteRoundTrip(500 * time.Millisecond)
 	k.round(context.Background(), true)
 	c.Assert(ledgerOf(c, b).Allowances["boatyard"].Ceiling, qt.Equals, int64(100_000*(aheadLeast.Seconds()+1)))
-	c.Assert(k.patience() > 500*time.Millisecond, qt.IsTrue)
+	c.Assert(k.drawTimeout() > 500*time.Millisecond, qt.IsTrue)
 	for range 30 {
 		k.noteRoundTrip(5 * time.Millisecond)
 	}
 	p.rate, p.rateAt = 100_000, b.steady
 	k.round(context.Background(), true)
-	c.Assert(k.patience(), qt.Equals, drawPatience)
+	c.Assert(k.drawTimeout(), qt.Equals, minDrawTimeout)
 	c.Assert(ledgerOf(c, b).Allowances["boatyard"].Ceiling < int64(100_000*(aheadLeast.Seconds()+0.1)), qt.IsTrue)
 }
 
--- a/internal/escrow/gather.go
+++ b/internal/escrow/gather.go
@@ -17,31 +17,31 @@
 // allows. So the router that holds instead asks whoever the record names, once all is granted.
 
 const (
-	// gatherTime bounds one gathering: less than a reservation waits for a draw.
-	gatherTime = 80 * time.Millisecond
-	// gatherAhead is how much of the use seen is gathered at once, so that each request need
+	// gatherTimeout bounds one gathering: less than a reservation waits for a draw.
+	gatherTimeout = 80 * time.Millisecond
+	// gatherHorizon is how much of the use seen is gathered at once, so that each request need
 	// not wait for a gathering of its own.
-	gatherAhead = 500 * time.Millisecond
-	// gatherPause is how long nobody is asked again after one that brought nothing.
-	gatherPause = time.Second
-	// reportFor is how long a holder's report of what it has spent replaces its figure in the record,
+	gatherHorizon = 500 * time.Millisecond
+	// emptyGatherBackoff is how long nobody is asked again after one that brought nothing.
+	emptyGatherBackoff = time.Second
+	// usageReportTTL is how long a holder's report of what it has spent replaces its figure in the record,
 	// which lags behind until it draws again.
-	reportFor = 3 * time.Second
-	// unreachedFor is how long a router that didn't answer is left out: as a rule it is dead, and
+	usageReportTTL = 3 * time.Second
+	// unreachableBackoff is how long a router that didn't answer is left out: as a rule it is dead, and
 	// the record lists it until its successor closes what it held.
-	unreachedFor = 10 * time.Second
+	unreachableBackoff = 10 * time.Second
 )
 
-// useReport is what a holder had spent of an account when it was asked for tokens.
-type useReport struct {
+// usageReport is what a holder had spent of an account when it was asked for tokens.
+type usageReport struct {
 	spent int64
 	at    time.Duration
 }
 
-// spentAt is what a VM has spent of an account, as far as is known: by its report of late, else by
+// spentByVM is what a VM has spent of an account, as far as is known: by its report of late, else by
 // the record. The keeper is locked.
-func (m *GrantManager) spentAt(p *grant, vm string) int64 {
-	if report, known := p.reports[vm]; known && m.o.Clock().Steady-report.at < reportFor {
+func (m *GrantManager) spentByVM(p *grant, vm string) int64 {
+	if report, known := p.reports[vm]; known && m.o.Clock().Steady-report.at < usageReportTTL {
 		return report.spent
 	}
 	return p.record.SpentBy(vm)
@@ -52,36 +52,36 @@
 	sum := p.record.ClosedSpent + p.record.SpentBy(m.o.VM) - p.record.Entry(m.o.VM, m.o.Incarnation).Spent
 	for vm := range p.record.Holders {
 		if vm != m.o.VM {
-			sum += m.spentAt(p, vm)
+			sum += m.spentByVM(p, vm)
 		}
 	}
 	return sum
 }
 
-// gathering is a call for tokens to a router that the record leaves some to.
-type gathering struct {
+// gatherRequest is a call for tokens to a router that the record leaves some to.
+type gatherRequest struct {
 	grant       *grant
 	vm, address string
 	tokens      int64
 }
 
-// gather orders tokens from a router that holds some, or says that this is under way; false:
+// requestGather orders tokens from a router that holds some, or says that this is under way; false:
 // nobody else has any. The keeper is locked.
-func (m *GrantManager) gather(h *hold) bool {
+func (m *GrantManager) requestGather(h *pendingReservation) bool {
 	p := h.grant
 	if p.gathering {
 		return true
 	}
-	if p.gathered > 0 && m.o.Clock().Steady-p.gathered < gatherPause {
+	if p.gathered > 0 && m.o.Clock().Steady-p.gathered < emptyGatherBackoff {
 		return false
 	}
-	vm, address := m.largestElsewhere(p)
+	vm, address := m.largestOtherHolder(p)
 	if address == "" {
 		return false
 	}
 	p.gathering = true
-	tokens := max(h.missing, int64(p.rate*gatherAhead.Seconds()))
-	m.gatherings = append(m.gatherings, gathering{grant: p, vm: vm, address: address, tokens: tokens})
+	tokens := max(h.missing, int64(p.rate*gatherHorizon.Seconds()))
+	m.gatherings = append(m.gatherings, gatherRequest{grant: p, vm: vm, address: address, tokens: tokens})
 	select {
 	case m.gatherDue <- struct{}{}:
 	default: // one is due already
@@ -89,46 +89,46 @@
 	return true
 }
 
-// gathers carries gatherings out until ctx ends.
-func (m *GrantManager) gathers(ctx context.Context) {
+// gatherLoop carries gatherings out until ctx ends.
+func (m *GrantManager) gatherLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-m.gatherDue:
-			m.gatherAll(ctx)
+			m.runGathers(ctx)
 		}
 	}
 }
 
-// gatherAll carries out what was ordered, all at once: one router that doesn't answer must
+// runGathers carries out what was ordered, all at once: one router that doesn't answer must
 // not hold up the others.
-func (m *GrantManager) gatherAll(ctx context.Context) {
+func (m *GrantManager) runGathers(ctx context.Context) {
 	var calls conc.WaitGroup
-	for _, g := range m.takeGatherings() {
-		calls.Go(func() { m.gatherOne(ctx, g) })
+	for _, g := range m.takeGatherRequests() {
+		calls.Go(func() { m.runGather(ctx, g) })
 	}
 	calls.Wait()
 }
 
-func (m *GrantManager) takeGatherings() []gathering {
+func (m *GrantManager) takeGatherRequests() []gatherRequest {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	due := m.gatherings
+	requests := m.gatherings
 	m.gatherings = nil
-	return due
+	return requests
 }
 
-// largestElsewhere is the VM, with its address, that has the most tokens left beside this one, as far as
+// largestOtherHolder is the VM, with its address, that has the most tokens left beside this one, as far as
 // is known; the address is empty if there is none that can be asked.
-func (m *GrantManager) largestElsewhere(p *grant) (vm, address string) {
+func (m *GrantManager) largestOtherHolder(p *grant) (vm, address string) {
 	most, now := int64(0), m.o.Clock().Steady
 	for name := range p.record.Holders {
 		at, unreached := m.unreached[name]
-		if name == m.o.VM || m.addresses[name] == "" || unreached && now-at < unreachedFor {
+		if name == m.o.VM || m.addresses[name] == "" || unreached && now-at < unreachableBackoff {
 			continue
 		}
-		left := p.record.GrantedTo(name) - m.spentAt(p, name)
+		left := p.record.GrantedTo(name) - m.spentByVM(p, name)
 		if left > most {
 			most, vm, address = left, name, m.addresses[name]
 		}
@@ -136,10 +136,10 @@
 	return vm, address
 }
 
-// gatherOne asks one router and ends the gathering. What it lends is what none of its own
+// runGather asks one router and ends the gathering. What it lends is what none of its own
 // requests waits for.
-func (m *GrantManager) gatherOne(ctx context.Context, g gathering) {
-	ctx, cancel := context.WithTimeout(ctx, gatherTime)
+func (m *GrantManager) runGather(ctx context.Context, g gatherRequest) {
+	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
 	p := g.grant
 	loan := m.o.Peers.BorrowFrom(ctx, g.address, p.account, g.tokens, noWaiter)
@@ -150,7 +150,7 @@
 	if loan.Short == PeerUnreachable {
 		m.unreached[g.vm] = now
 	} else {
-		p.reports[g.vm] = useReport{spent: loan.Spent, at: now}
+		p.reports[g.vm] = usageReport{spent: loan.Spent, at: now}
 		if loan.Tokens < g.tokens {
 			p.gathered = now
 		}
--- a/internal/escrow/gather_test.go
+++ b/internal/escrow/gather_test.go
@@ -29,14 +29,14 @@
 	r.Holders["vm-4"] = map[string]GrantEntry{"p4": {Granted: 30_000}}
 	p := k.grant("boatyard")
 	p.record = r
-	vm, address := k.largestElsewhere(p)
+	vm, address := k.largestOtherHolder(p)
 	qt.Assert(t, vm, qt.Equals, "vm-3")
 	qt.Assert(t, address, qt.Equals, "three")
 	k.unreached["vm-3"] = k.o.Clock().Steady
-	_, address = k.largestElsewhere(p)
+	_, address = k.largestOtherHolder(p)
 	qt.Assert(t, address, qt.Equals, "two")
-	b.steady += unreachedFor
-	_, address = k.largestElsewhere(p)
+	b.steady += unreachableBackoff
+	_, address = k.largestOtherHolder(p)
 	qt.Assert(t, address, qt.Equals, "three")
 }
 
@@ -63,17 +63,17 @@
 	k := b.keeper("p1", usedUpPeers{spent: 0})
 	k.round(context.Background(), true)
 
-	h := k.begin("boatyard", 8_000, true, "")
-	c.Assert(k.shortage(h), qt.Equals, ErrContended)
-	c.Assert(k.gather(h), qt.IsTrue)
-	for _, g := range k.takeGatherings() {
-		k.gatherOne(context.Background(), g)
+	h := k.newPendingReservation("boatyard", 8_000, true, "")
+	c.Assert(k.shortageError(h), qt.Equals, ErrContended)
+	c.Assert(k.requestGather(h), qt.IsTrue)
+	for _, g := range k.takeGatherRequests() {
+		k.runGather(context.Background(), g)
 	}
-	c.Assert(k.shortage(h), qt.Equals, ErrExhausted)
-	vm, _ := k.largestElsewhere(h.grant)
+	c.Assert(k.shortageError(h), qt.Equals, ErrExhausted)
+	vm, _ := k.largestOtherHolder(h.grant)
 	c.Assert(vm, qt.Equals, "")
-	b.steady += reportFor
-	c.Assert(k.shortage(h), qt.Equals, ErrContended, qt.Commentf("the report is old"))
+	b.steady += usageReportTTL
+	c.Assert(k.shortageError(h), qt.Equals, ErrContended, qt.Commentf("the report is old"))
 }
 
 // Guards against a report that counts as spent what may come back in a moment.
@@ -82,6 +82,6 @@
 	b, k, _ := startedBench()
 	c.Assert(k.Lend("boatyard", 2_000, noWaiter).Spent, qt.Equals, int64(2_000))
 	c.Assert(k.Lend("boatyard", 3_000, noWaiter).Spent, qt.Equals, int64(3_000))
-	b.steady += 2 * lentLately
+	b.steady += 2 * recentLoanWindow
 	c.Assert(k.Lend("boatyard", 0, noWaiter).Spent, qt.Equals, int64(5_000))
 }
--- a/internal/escrow/grant.go
+++ b/internal/escrow/grant.go
@@ -71,7 +71,7 @@
 	fruitless time.Duration // when other routers had nothing; 0: never
 	gathering bool          // another router is being asked for what the record leaves it
 	gathered  time.Duration // when one had less than was asked for; 0: never
-	lately    recently      // lent in the last moments: some of it may come back
+	lately    recentLoans   // lent in the last moments: some of it may come back
 
 	rate   float64 // tokens a second, averaged since the first use
 	weight float64 // of what rate averages: near 0 at first, 1 in the long run
@@ -89,14 +89,14 @@
 	pendingAt int64
 	lackLog   sparseLog
 	gatherLog sparseLog
-	reports   map[string]useReport // by VM
+	reports   map[string]usageReport // by VM
 }
 
 // noWrite says that no write of a record is unanswered.
 const noWrite = -1
 
 func newGrant(account string) *grant {
-	return &grant{account: account, pendingAt: noWrite, record: newRecord(), reports: make(map[string]useReport)}
+	return &grant{account: account, pendingAt: noWrite, record: newRecord(), reports: make(map[string]usageReport)}
 }
 
 // learned takes the record as the store has it. Once its revision has passed what
--- a/internal/escrow/holders.go
+++ b/internal/escrow/holders.go
@@ -33,8 +33,8 @@
 )
 
 const (
-	// standbyFor is how long a router goes on holding after it was last asked.
-	standbyFor = 2 * time.Second
+	// standbyTimeout is how long a router goes on holding after it was last asked.
+	standbyTimeout = 2 * time.Second
 	// standbyHorizon is how much of the use seen there a standby holds: it writes once in
 	// that time, and what it holds would be out of reach if it were lost as well.
 	standbyHorizon = 2 * time.Second
@@ -73,8 +73,8 @@
 	return ErrUnreachable
 }
 
-// inContact says whether the router could have drawn if there were more to draw.
-func (s Shortage) inContact() bool {
+// canDraw says whether the router could have drawn if there were more to draw.
+func (s Shortage) canDraw() bool {
 	return s == DrawPending || s == HeldElsewhere || s == InDoubt || s == Exhausted
 }
 
@@ -105,45 +105,45 @@
 	switch {
 	case m.o.Home(p.account) == "":
 		return home
-	case p.askedAt > 0 && m.o.Clock().Steady-p.askedAt < standbyFor:
+	case p.askedAt > 0 && m.o.Clock().Steady-p.askedAt < standbyTimeout:
 		return standby
 	}
 	return borrower
 }
 
-// drawingMost is how often one that is drawing is asked for a request: a store that takes
+// maxDrawPendingTries is how often one that is drawing is asked for a request: a store that takes
 // half a second for a write is waited for, and no second router draws beside it.
-const drawingMost = 5
+const maxDrawPendingTries = 5
 
-// awayFor is how long a holder that had no contact with the store is left out.
-const awayFor = time.Second
+// holderBackoff is how long a holder that had no contact with the store is left out.
+const holderBackoff = time.Second
 
 // borrowFromHolders gets what is missing from the account's holders, in their order, up to
 // the first that can draw. It says what that one lacked; inContact is false if none can.
-func (m *GrantManager) borrowFromHolders(ctx context.Context, h *hold) (short Shortage, inContact bool) {
-	ranked, awayHome := m.holdersToAsk(h.grant.account)
-	for _, address := range ranked {
+func (m *GrantManager) borrowFromHolders(ctx context.Context, h *pendingReservation) (short Shortage, canDraw bool) {
+	addresses, unavailableHome := m.holdersToAsk(h.grant.account)
+	for _, address := range addresses {
 		short = m.borrowFrom(ctx, h, address)
-		for tries := 1; short == DrawPending && tries < drawingMost && ctx.Err() == nil; tries++ {
+		for tries := 1; short == DrawPending && tries < maxDrawPendingTries && ctx.Err() == nil; tries++ {
 			short = m.borrowFrom(ctx, h, address)
 		}
-		if inContact = short.inContact(); inContact || h.missing == 0 {
+		if canDraw = short.canDraw(); canDraw || h.missing == 0 {
 			break
 		}
 	}
-	if h.missing > 0 && awayHome != "" {
-		m.borrowFrom(ctx, h, awayHome)
+	if h.missing > 0 && unavailableHome != "" {
+		m.borrowFrom(ctx, h, unavailableHome)
 	}
-	return short, inContact
+	return short, canDraw
 }
 
 // borrowFrom asks one holder.
-func (m *GrantManager) borrowFrom(ctx context.Context, h *hold, address string) Shortage {
+func (m *GrantManager) borrowFrom(ctx context.Context, h *pendingReservation, address string) Shortage {
 	loan := m.o.Peers.BorrowFrom(ctx, address, h.grant.account, h.missing, h.waiterID)
-	h.got(loan.Tokens)
+	h.addLoan(loan.Tokens)
 	// A request whose time is over tells nothing of whom it asked.
 	if ctx.Err() == nil && (loan.Short == PeerUnreachable || loan.Short == StoreUnreachable) {
-		m.noteAway(address)
+		m.markUnavailable(address)
 	}
 	return loan.Short
 }
@@ -152,135 +152,135 @@
 // rank before it, and all others too while it can't draw itself. One that lately had no
 // contact with the store is left out, but for the home, which still holds a grant: it is
 // asked after the others.
-func (m *GrantManager) holdersToAsk(account string) (ranked []string, awayHome string) {
+func (m *GrantManager) holdersToAsk(account string) (addresses []string, unavailableHome string) {
 	for i, address := range m.o.Holders(account) {
 		switch {
 		case address == "" && !m.isAway():
-			return ranked, awayHome
+			return addresses, unavailableHome
 		case address == "":
-		case !m.wasAway(address):
-			ranked = append(ranked, address)
+		case !m.isUnavailable(address):
+			addresses = append(addresses, address)
 		case i == 0:
-			awayHome = address
+			unavailableHome = address
 		}
 	}
-	return ranked, awayHome
+	return addresses, unavailableHome
 }
 
-func (m *GrantManager) wasAway(address string) bool {
+func (m *GrantManager) isUnavailable(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at, found := m.holdersAway[address]
-	return found && m.o.Clock().Steady-at < awayFor
+	return found && m.o.Clock().Steady-at < holderBackoff
 }
 
-func (m *GrantManager) noteAway(address string) {
+func (m *GrantManager) markUnavailable(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.holdersAway[address] = m.o.Clock().Steady
 }
 
-// lastResort is the mean time between two draws of a router that ranks nowhere, when none of
+// lastResortInterval is the mean time between two draws of a router that ranks nowhere, when none of
 // the account's holders can draw. All routers are in that case at once, so each waits for a
 // random time around it, and who is refused meanwhile is told to come back.
-const lastResort = time.Second
+const lastResortInterval = time.Second
 
 // mayDraw says whether this router may draw for a request: as one of the account's holders,
 // or once in a while as a last resort.
 func (m *GrantManager) mayDraw(p *grant) bool {
-	ranks := slices.Contains(m.o.Holders(p.account), "")
+	isHolder := slices.Contains(m.o.Holders(p.account), "")
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.o.Clock().Steady
 	if m.away {
 		return false
 	}
-	if ranks {
+	if isHolder {
 		p.askedAt = now // it holds from now on for those who rank behind
 		return true
 	}
 	if now < p.nextDraw {
 		return false
 	}
-	p.nextDraw = now + lastResort/2 + rand.N(lastResort)
+	p.nextDraw = now + lastResortInterval/2 + rand.N(lastResortInterval)
 	return true
 }
 
-// lentLately is how long tokens that were lent count as possibly unused, up to twice: the
+// recentLoanWindow is how long tokens that were lent count as possibly unused, up to twice: the
 // borrower hands back with its next sweep what a request has left. With seconds of it, small
 // requests of a used up budget were told to come back soon, again and again.
-const lentLately = sweepEvery
+const recentLoanWindow = sweepInterval
 
-// shortage says why the record can't give what is missing, as far as that is known here. The
+// shortageError says why the record can't give what is missing, as far as that is known here. The
 // keeper is locked.
-func (m *GrantManager) shortage(h *hold) error {
+func (m *GrantManager) shortageError(h *pendingReservation) error {
 	p := h.grant
 	prepaid := m.o.Budgets()[p.account]
 	// What others drew themselves counts as far as they or the record tell.
 	used := p.used() - (h.tokens - h.missing) + m.spentElsewhere(p)
 	left := prepaid - used + p.lately.sum(m.o.Clock().Steady)
-	doubtful := p.record.Closed - p.record.ClosedSpent
-	why := ErrContended
+	inDoubt := p.record.Closed - p.record.ClosedSpent
+	err := ErrContended
 	switch {
 	case left < h.tokens:
-		why = ErrExhausted
-	case left-doubtful < h.tokens:
-		why = ErrInDoubt
+		err = ErrExhausted
+	case left-inDoubt < h.tokens:
+		err = ErrInDoubt
 	}
-	m.logShortage(p, prepaid, used, left, why)
-	return why
+	m.logShortage(p, prepaid, used, left, err)
+	return err
 }
 
 // logShortage tells of a budget that can't give what is asked for, once a second. The keeper
 // is locked.
-func (m *GrantManager) logShortage(p *grant, prepaid, used, left int64, why error) {
+func (m *GrantManager) logShortage(p *grant, prepaid, used, left int64, cause error) {
 	if !p.lackLog.due(m.o.Clock().Steady) {
 		return
 	}
 	m.o.Log.Emit(event.BudgetShort, slog.String(event.KeyBudget, p.account), slog.Int64("prepaid", prepaid),
 		slog.Int64("given", p.record.TotalGranted()), slog.Int64("closed", p.record.Closed),
 		slog.Int64("closed_spent", p.record.ClosedSpent), slog.Int64("used", used), slog.Int64("left", left),
-		slog.Int64("revision", p.revision), slog.Any(event.KeyCause, why), slog.Int("unlogged", p.lackLog.take()))
+		slog.Int64("revision", p.revision), slog.Any(event.KeyCause, cause), slog.Int("unlogged", p.lackLog.take()))
 }
 
-// recently sums up the tokens lent in the present lentLately and the one before it.
-type recently struct {
-	since     time.Duration
-	now, last int64
+// recentLoans sums up the tokens lent in the present recentLoanWindow and the one before it.
+type recentLoans struct {
+	windowStart       time.Duration
+	current, previous int64
 }
 
-func (r *recently) add(tokens int64, now time.Duration) {
-	r.turn(now)
-	r.now += tokens
+func (r *recentLoans) add(tokens int64, now time.Duration) {
+	r.rotate(now)
+	r.current += tokens
 }
 
-func (r *recently) sum(now time.Duration) int64 {
-	r.turn(now)
-	return r.now + r.last
+func (r *recentLoans) sum(now time.Duration) int64 {
+	r.rotate(now)
+	return r.current + r.previous
 }
 
-func (r *recently) turn(now time.Duration) {
-	switch passed := now - r.since; {
-	case passed >= 2*lentLately:
-		r.now, r.last, r.since = 0, 0, now
-	case passed >= lentLately:
-		r.last, r.now, r.since = r.now, 0, now
+func (r *recentLoans) rotate(now time.Duration) {
+	switch passed := now - r.windowStart; {
+	case passed >= 2*recentLoanWindow:
+		r.current, r.previous, r.windowStart = 0, 0, now
+	case passed >= recentLoanWindow:
+		r.previous, r.current, r.windowStart = r.current, 0, now
 	}
 }
 
-// fruitlessFor is how long other routers are not asked again for an account of which they
+// emptyBorrowBackoff is how long other routers are not asked again for an account of which they
 // had nothing. Each request of an outage asked up to twelve of them.
-const fruitlessFor = 250 * time.Millisecond
+const emptyBorrowBackoff = 250 * time.Millisecond
 
-// borrow gets what is missing from any other routers, where no holder has contact with the
+// borrowFromPeers gets what is missing from any other routers, where no holder has contact with the
 // store.
-func (m *GrantManager) borrow(ctx context.Context, h *hold) error {
-	if !m.mayAsk(h.grant) {
+func (m *GrantManager) borrowFromPeers(ctx context.Context, h *pendingReservation) error {
+	if !m.mayBorrow(h.grant) {
 		return ErrUnreachable
 	}
 	missing := h.missing
 	got, used := m.o.Peers.Borrow(ctx, h.grant.account, missing)
-	h.got(got)
+	h.addLoan(got)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	record := h.grant.record
@@ -306,9 +306,9 @@
 	return ErrUnreachable
 }
 
-// mayAsk says whether other routers may have something.
-func (m *GrantManager) mayAsk(p *grant) bool {
+// mayBorrow says whether other routers may have something.
+func (m *GrantManager) mayBorrow(p *grant) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return p.fruitless == 0 || m.o.Clock().Steady-p.fruitless >= fruitlessFor
+	return p.fruitless == 0 || m.o.Clock().Steady-p.fruitless >= emptyBorrowBackoff
 }
--- a/internal/escrow/holders_test.go
+++ b/internal/escrow/holders_test.go
@@ -232,7 +232,7 @@
 		c := qt.New(t)
 		first := m.use(ctx, names(0, size), time.Second)
 		c.Assert(first.served <= paid/1000, qt.IsTrue)
-		time.Sleep(2 * lentLately) // what was lent came back or is used
+		time.Sleep(2 * recentLoanWindow) // what was lent came back or is used
 		later := m.use(ctx, names(MaxHolders, size), 2*time.Second)
 		c.Assert(later.served, qt.Equals, paid/1000-first.served)
 		c.Assert(later.refused[ErrExhausted] > 100, qt.IsTrue, qt.Commentf("%v", later.refused))
@@ -262,7 +262,7 @@
 		m.use(ctx, names(MaxHolders, size), long)
 		// Draws are half a second apart at the least; each may lose a race and be followed by
 		// the return of its rest.
-		most := 3 * int64(long/(lastResort/2))
+		most := 3 * int64(long/(lastResortInterval/2))
 		for _, name := range names(MaxHolders, size) {
 			writes := m.stores[name].writes.Load()
 			c.Assert(writes <= most, qt.IsTrue, qt.Commentf("%d writes by %s", writes, name))
--- a/internal/escrow/keeper.go
+++ b/internal/escrow/keeper.go
@@ -97,7 +97,7 @@
 	// unreached is when a VM that was asked for what it holds last gave no answer.
 	unreached map[string]time.Duration
 	// gatherings are ordered and not begun.
-	gatherings []gathering
+	gatherings []gatherRequest
 	gatherDue  chan struct{}
 	// conflicts counts writes in a row that lost the race for a record.
 	conflicts int
@@ -209,8 +209,8 @@
 func (m *GrantManager) Run(ctx context.Context) {
 	var tasks conc.WaitGroup
 	defer tasks.Wait()
-	tasks.Go(func() { m.gathers(ctx) })
-	tasks.Go(func() { m.sweeps(ctx) }) // a home that doesn't answer must not hold up the ledger
+	tasks.Go(func() { m.gatherLoop(ctx) })
+	tasks.Go(func() { m.sweepLoop(ctx) }) // a home that doesn't answer must not hold up the ledger
 	ticker := time.NewTicker(ledgerEvery)
 	defer ticker.Stop()
 	for {
--- a/internal/escrow/lend.go
+++ b/internal/escrow/lend.go
@@ -20,19 +20,19 @@
 	Short Shortage
 }
 
-// lendPatience is how long a router that is asked waits for a draw of its own: less than its
+// lendDrawTimeout is how long a router that is asked waits for a draw of its own: less than its
 // borrower waits for the answer.
-const lendPatience = 150 * time.Millisecond
+const lendDrawTimeout = 150 * time.Millisecond
 
 // Lend gives tokens to another router. What it gives counts as used from then on. A waiter
 // is a request that asks this router as a holder of the account: it gets what can be drawn,
 // and keeps its place in the queue while the store is away. Without one, what nobody waits
 // for is given, and nothing is drawn.
 func (m *GrantManager) Lend(account string, tokens int64, waiterID string) Loan {
-	h := m.begin(account, tokens, waiterID != "", waiterID)
+	h := m.newPendingReservation(account, tokens, waiterID != "", waiterID)
 	loan := Loan{}
 	if waiterID != "" {
-		m.noteAsked(h.grant)
+		m.refreshStandby(h.grant)
 		loan.Short = m.drawForLoan(h)
 	}
 	m.mu.Lock()
@@ -47,24 +47,24 @@
 	return loan
 }
 
-// noteAsked makes this router hold for the account, if it is not its home.
-func (m *GrantManager) noteAsked(p *grant) {
+// refreshStandby makes this router hold for the account, if it is not its home.
+func (m *GrantManager) refreshStandby(p *grant) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p.askedAt = m.o.Clock().Steady
 }
 
 // drawForLoan draws what a loan lacks, and says why it still does.
-func (m *GrantManager) drawForLoan(h *hold) Shortage {
+func (m *GrantManager) drawForLoan(h *pendingReservation) Shortage {
 	if h.missing == 0 {
 		return NoShortage
 	}
 	if _, known := m.o.Budgets()[h.grant.account]; !known {
 		return StoreUnreachable // started a moment ago, without a configuration: it can't tell
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), lendPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), lendDrawTimeout)
 	defer cancel()
-	err := m.draw(ctx, h)
+	err := m.awaitDraw(ctx, h)
 	if err == nil {
 		return NoShortage
 	}
@@ -86,16 +86,16 @@
 }
 
 const (
-	// sweepEvery bounds how long tokens lie unused: a request reserves its most,
+	// sweepInterval bounds how long tokens lie unused: a request reserves its most,
 	// and leaves about half of it.
-	sweepEvery = 400 * time.Millisecond
-	// sweepTime bounds the handing back of tokens to their accounts' homes.
-	sweepTime = 300 * time.Millisecond
+	sweepInterval = 400 * time.Millisecond
+	// sweepTimeout bounds the handing back of tokens to their accounts' homes.
+	sweepTimeout = 300 * time.Millisecond
 )
 
-// sweeps hands tokens back until ctx ends.
-func (m *GrantManager) sweeps(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+// sweepLoop hands tokens back until ctx ends.
+func (m *GrantManager) sweepLoop(ctx context.Context) {
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -110,15 +110,15 @@
 // sweep hands what is left here to the accounts' homes, so that it is not lost in
 // small parts with every router, and not missing where it is needed.
 func (m *GrantManager) sweep(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, sweepTime)
+	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
 	defer cancel()
-	for home, left := range m.strays() {
-		m.give(ctx, home, left)
+	for home, left := range m.takeSurplus() {
+		m.sendTokens(ctx, home, left)
 	}
 }
 
-// strays takes what is left here of accounts whose home is another router, by home.
-func (m *GrantManager) strays() map[string]map[string]int64 {
+// takeSurplus takes what is left here of accounts whose home is another router, by home.
+func (m *GrantManager) takeSurplus() map[string]map[string]int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	byHome := make(map[string]map[string]int64)
@@ -137,8 +137,8 @@
 	return byHome
 }
 
-// give hands tokens to a router. They were counted as lent before.
-func (m *GrantManager) give(ctx context.Context, address string, tokens map[string]int64) {
+// sendTokens hands tokens to a router. They were counted as lent before.
+func (m *GrantManager) sendTokens(ctx context.Context, address string, tokens map[string]int64) {
 	if m.o.Peers.HandOver(ctx, address, tokens) {
 		return
 	}
@@ -162,7 +162,7 @@
 	}
 	m.mu.Unlock()
 	m.o.Log.Emit(event.TokensHandedOver, slog.String(event.KeyRouter, address), slog.Int("accounts", len(left)))
-	m.give(ctx, address, left)
+	m.sendTokens(ctx, address, left)
 }
 
 // StopAccepting says that this router is about to stop: it takes no tokens of others any more.
--- a/internal/escrow/outage_test.go
+++ b/internal/escrow/outage_test.go
@@ -79,7 +79,7 @@
 	b.steady = time.Minute
 	k := b.keeper("p1", noPeers{})
 	k.round(context.Background(), true)
-	for i := 0; i < isolatedMost; i++ {
+	for i := 0; i < isolationThreshold; i++ {
 		c.Assert(k.Isolated(), qt.IsFalse)
 		_, err := k.Reserve(context.Background(), "boatyard", 8_000)
 		c.Assert(err, qt.Equals, ErrUnreachable)
@@ -116,7 +116,7 @@
 	p.record = newRecord().WithEntry("vm", "p3", GrantEntry{Seq: 1, Granted: 100_000}, nil)
 	c.Assert(k.Lend("boatyard", 95_000, "waiter").Short, qt.Equals, NoShortage)
 	c.Assert(reserveError(k), qt.Equals, ErrContended, qt.Commentf("lent a moment ago"))
-	b.steady += 3 * lentLately
+	b.steady += 3 * recentLoanWindow
 	k.readAt = b.steady
 	c.Assert(reserveError(k), qt.Equals, ErrExhausted)
 }
--- a/internal/escrow/queue.go
+++ b/internal/escrow/queue.go
@@ -11,19 +11,19 @@
 
 // waiter is one request in a queue. It asks again and again until it is served.
 type waiter struct {
-	id     string
-	tokens int64
-	seen   time.Duration // when it asked last, by the steady clock
+	id       string
+	tokens   int64
+	lastSeen time.Duration // when it asked last, by the steady clock
 }
 
-// queueKept is how long a waiter that doesn't ask any more keeps its place: some of its
+// waiterTimeout is how long a waiter that doesn't ask any more keeps its place: some of its
 // pauses between two tries, with the round trip to this router.
-const queueKept = 400 * time.Millisecond
+const waiterTimeout = 400 * time.Millisecond
 
-// admits says whether a request may take its tokens now: all of them, and only if those
+// admit says whether a request may take its tokens now: all of them, and only if those
 // who came before it can have theirs too. Else it has a place in the queue.
-func (q *queue) admits(id string, tokens, available int64, now time.Duration) bool {
-	q.drop(now)
+func (q *queue) admit(id string, tokens, available int64, now time.Duration) bool {
+	q.dropExpired(now)
 	ahead := int64(0)
 	for i := range q.waiters {
 		w := &q.waiters[i]
@@ -35,19 +35,19 @@
 			q.waiters = append(q.waiters[:i], q.waiters[i+1:]...)
 			return true
 		}
-		w.tokens, w.seen = tokens, now
+		w.tokens, w.lastSeen = tokens, now
 		return false
 	}
 	if ahead+tokens <= available {
 		return true
 	}
-	q.waiters = append(q.waiters, waiter{id: id, tokens: tokens, seen: now})
+	q.waiters = append(q.waiters, waiter{id: id, tokens: tokens, lastSeen: now})
 	return false
 }
 
-// wanted is the tokens that the queue waits for.
-func (q *queue) wanted(now time.Duration) int64 {
-	q.drop(now)
+// waitingTokens is the tokens that the queue waits for.
+func (q *queue) waitingTokens(now time.Duration) int64 {
+	q.dropExpired(now)
 	sum := int64(0)
 	for _, w := range q.waiters {
 		sum += w.tokens
@@ -55,11 +55,11 @@
 	return sum
 }
 
-// drop forgets the waiters that have stopped asking.
-func (q *queue) drop(now time.Duration) {
+// dropExpired forgets the waiters that have stopped asking.
+func (q *queue) dropExpired(now time.Duration) {
 	kept := q.waiters[:0]
 	for _, w := range q.waiters {
-		if now-w.seen <= queueKept {
+		if now-w.lastSeen <= waiterTimeout {
 			kept = append(kept, w)
 		}
 	}
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -12,12 +12,12 @@
 // account's grant for all, else by a draw of its own. While the store is away for all, it
 // asks all other routers: what one lacks lies unused at another.
 func (m *GrantManager) Reserve(ctx context.Context, account string, tokens int64) (*Reservation, error) {
-	h := m.begin(account, tokens, m.roleOf(account) == home, "")
-	err := m.obtain(ctx, h)
-	for errors.Is(err, ErrUnreachable) && m.opensSoon() && pause(ctx, openPoll) {
-		err = m.again(ctx, h)
+	h := m.newPendingReservation(account, tokens, m.roleOf(account) == home, "")
+	err := m.acquire(ctx, h)
+	for errors.Is(err, ErrUnreachable) && m.allowanceGrowsSoon() && sleep(ctx, outageRetryInterval) {
+		err = m.retry(ctx, h)
 	}
-	m.noteIsolated(errors.Is(err, ErrUnreachable))
+	m.trackIsolation(errors.Is(err, ErrUnreachable))
 	if err != nil {
 		h.release()
 		return nil, err
@@ -25,48 +25,48 @@
 	return h.reservation(), nil
 }
 
-// obtain fills a hold, or says why it can't be.
-func (m *GrantManager) obtain(ctx context.Context, h *hold) error {
+// acquire fills a hold, or says why it can't be.
+func (m *GrantManager) acquire(ctx context.Context, h *pendingReservation) error {
 	if h.missing == 0 {
 		return nil
 	}
-	short, inContact := m.borrowFromHolders(ctx, h)
+	short, canDraw := m.borrowFromHolders(ctx, h)
 	if h.missing == 0 {
 		return nil
 	}
-	if inContact {
+	if canDraw {
 		return short.err() // one that can draw has no more: nobody has
 	}
 	if m.mayDraw(h.grant) {
-		if err := m.draw(ctx, h); !errors.Is(err, ErrUnreachable) {
+		if err := m.awaitDraw(ctx, h); !errors.Is(err, ErrUnreachable) {
 			return err
 		}
 	}
 	if ctx.Err() != nil {
 		return ErrUnreachable
 	}
-	return m.borrow(ctx, h)
+	return m.borrowFromPeers(ctx, h)
 }
 
-// openPoll is how often a reservation that waits for the opening tries again, and
-// opensWithin the time after which waiting is left to the caller.
+// outageRetryInterval is how often a reservation that waits for the opening tries again, and
+// outageRetryWindow the time after which waiting is left to the caller.
 const (
-	openPoll    = 120 * time.Millisecond
-	opensWithin = 1500 * time.Millisecond
+	outageRetryInterval = 120 * time.Millisecond
+	outageRetryWindow   = 1500 * time.Millisecond
 )
 
-// opensSoon says whether the store has been away for so short a time that what is
+// allowanceGrowsSoon says whether the store has been away for so short a time that what is
 // held beyond the ceilings opens while a caller waits. Ceilings are low, so that
 // little is lost with a router that dies; the first seconds of an outage are
 // bridged by waiting.
-func (m *GrantManager) opensSoon() bool {
+func (m *GrantManager) allowanceGrowsSoon() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.away && m.age() < outageGrace+opensWithin
+	return m.away && m.age() < outageGrace+outageRetryWindow
 }
 
-// pause waits; false if ctx ended first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits; false if ctx ended first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -75,8 +75,8 @@
 	}
 }
 
-// again tries to fill a hold from here and from the account's holders.
-func (m *GrantManager) again(ctx context.Context, h *hold) error {
+// retry tries to fill a hold from here and from the account's holders.
+func (m *GrantManager) retry(ctx context.Context, h *pendingReservation) error {
 	m.mu.Lock()
 	h.fill()
 	m.mu.Unlock()
@@ -89,12 +89,12 @@
 	return nil
 }
 
-// isolatedMost is how many reservations in a row find neither the store nor tokens
+// isolationThreshold is how many reservations in a row find neither the store nor tokens
 // at other routers before this router counts as isolated.
-const isolatedMost = 3
+const isolationThreshold = 3
 
-// noteIsolated counts reservations that found nobody.
-func (m *GrantManager) noteIsolated(isolated bool) {
+// trackIsolation counts reservations that found nobody.
+func (m *GrantManager) trackIsolation(isolated bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !isolated {
@@ -109,12 +109,12 @@
 func (m *GrantManager) Isolated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.away && m.isolated >= isolatedMost
+	return m.away && m.isolated >= isolationThreshold
 }
 
-// hold is a reservation that is being put together. What it has is set aside at
+// pendingReservation is a reservation that is being put together. What it has is set aside at
 // once: else requests that come meanwhile take it, and all of them come up short.
-type hold struct {
+type pendingReservation struct {
 	keeper  *GrantManager
 	grant   *grant
 	tokens  int64
@@ -124,15 +124,15 @@
 	waiterID string // its name in a queue
 }
 
-// begin puts a hold together out of what is here. Without a name it gets one.
-func (m *GrantManager) begin(account string, tokens int64, queued bool, waiterID string) *hold {
+// newPendingReservation puts a hold together out of what is here. Without a name it gets one.
+func (m *GrantManager) newPendingReservation(account string, tokens int64, queued bool, waiterID string) *pendingReservation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if waiterID == "" {
 		m.waiters++
 		waiterID = m.o.Incarnation + "/" + strconv.FormatInt(m.waiters, 10)
 	}
-	h := &hold{keeper: m, grant: m.grant(account), tokens: tokens, missing: tokens, queued: queued, waiterID: waiterID}
+	h := &pendingReservation{keeper: m, grant: m.grant(account), tokens: tokens, missing: tokens, queued: queued, waiterID: waiterID}
 	h.fill()
 	if _, short := h.grant.raised(h.grant.granted, m.o.Budgets()[account], m.role(h.grant), m.roundTrip); short {
 		m.wakeUp()
@@ -141,31 +141,31 @@
 }
 
 // fill takes from the grant what it can. The keeper is locked.
-func (h *hold) fill() {
+func (h *pendingReservation) fill() {
 	available := h.grant.available(h.keeper.age())
 	if h.keeper.away {
-		available = h.share(available)
+		available = h.outageShare(available)
 	}
-	here := max(0, min(h.missing, available))
-	h.grant.reserved += here
-	h.missing -= here
+	taken := max(0, min(h.missing, available))
+	h.grant.reserved += taken
+	h.missing -= taken
 }
 
-// share is what the hold may take of what is available while the store is away: all it
+// outageShare is what the hold may take of what is available while the store is away: all it
 // needs once it is its turn, or, without a place in the queue, what nobody waits for.
-func (h *hold) share(available int64) int64 {
+func (h *pendingReservation) outageShare(available int64) int64 {
 	now := h.keeper.o.Clock().Steady
 	if !h.queued {
-		return available - h.grant.queue.wanted(now)
+		return available - h.grant.queue.waitingTokens(now)
 	}
-	if h.missing == 0 || !h.grant.queue.admits(h.waiterID, h.missing, available, now) {
+	if h.missing == 0 || !h.grant.queue.admit(h.waiterID, h.missing, available, now) {
 		return 0
 	}
 	return h.missing
 }
 
-// got adds what another router gave.
-func (h *hold) got(tokens int64) {
+// addLoan adds what another router gave.
+func (h *pendingReservation) addLoan(tokens int64) {
 	h.keeper.mu.Lock()
 	defer h.keeper.mu.Unlock()
 	h.grant.borrowed += tokens
@@ -173,43 +173,43 @@
 	h.missing -= min(tokens, h.missing)
 }
 
-func (h *hold) release() {
+func (h *pendingReservation) release() {
 	h.keeper.mu.Lock()
 	defer h.keeper.mu.Unlock()
 	h.grant.reserved -= h.tokens - h.missing
 }
 
-func (h *hold) reservation() *Reservation {
+func (h *pendingReservation) reservation() *Reservation {
 	return &Reservation{keeper: h.keeper, grant: h.grant, tokens: h.tokens}
 }
 
-// drawPatience is how long a reservation waits for a draw at least before it asks other
+// minDrawTimeout is how long a reservation waits for a draw at least before it asks other
 // routers: two rounds with a store in good health, with their pauses. That the store is away
 // shows only after callTimeout.
-const drawPatience = 100 * time.Millisecond
+const minDrawTimeout = 100 * time.Millisecond
 
-// patience is how long a reservation waits for a draw: for one that is under way and the
+// drawTimeout is how long a reservation waits for a draw: for one that is under way and the
 // one that follows it, with the pauses between them.
-func (m *GrantManager) patience() time.Duration {
+func (m *GrantManager) drawTimeout() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return max(drawPatience, slowWrites*(m.roundTrip+roundPause))
+	return max(minDrawTimeout, slowWrites*(m.roundTrip+roundPause))
 }
 
-// draw waits until the hold is filled by a draw, or says why it can't be.
-func (m *GrantManager) draw(ctx context.Context, h *hold) error {
-	patience := time.NewTimer(m.patience())
-	defer patience.Stop()
+// awaitDraw waits until the hold is filled by a draw, or says why it can't be.
+func (m *GrantManager) awaitDraw(ctx context.Context, h *pendingReservation) error {
+	timeout := time.NewTimer(m.drawTimeout())
+	defer timeout.Stop()
 	for round := 0; ; round++ {
-		changed, err := m.await(h, round > 0)
+		changed, err := m.fillOrWait(h, round > 0)
 		if changed == nil {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			err = ErrUnreachable
-		case <-patience.C:
-			err = m.patienceOver(h)
+		case <-timeout.C:
+			err = m.drawTimeoutError(h)
 		case <-changed:
 		}
 		m.stopWaiting(h)
@@ -219,9 +219,9 @@
 	}
 }
 
-// patienceOver is what a reservation that has waited long enough ends with. While tokens are
+// drawTimeoutError is what a reservation that has waited long enough ends with. While tokens are
 // gathered all is granted, and nothing more comes of asking further routers.
-func (m *GrantManager) patienceOver(h *hold) error {
+func (m *GrantManager) drawTimeoutError(h *pendingReservation) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if h.grant.gathering {
@@ -230,9 +230,9 @@
 	return ErrUnreachable
 }
 
-// await fills the hold if it can, and returns nothing. Else it returns the channel
+// fillOrWait fills the hold if it can, and returns nothing. Else it returns the channel
 // that closes after the next round with the store, or why waiting doesn't help.
-func (m *GrantManager) await(h *hold, waited bool) (<-chan struct{}, error) {
+func (m *GrantManager) fillOrWait(h *pendingReservation, waited bool) (<-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h.fill()
@@ -241,10 +241,10 @@
 		return nil, nil
 	case m.away:
 		return nil, ErrUnreachable
-	case h.grant.decided && (waited || m.isFresh()) && m.lacks(h):
-		why := m.shortage(h)
-		if !errors.Is(why, ErrContended) || !m.gather(h) {
-			return nil, why
+	case h.grant.decided && (waited || m.recordsFresh()) && m.exceedsRecord(h):
+		err := m.shortageError(h)
+		if !errors.Is(err, ErrContended) || !m.requestGather(h) {
+			return nil, err
 		}
 	}
 	h.grant.waiting += h.missing
@@ -252,20 +252,20 @@
 	return m.changed, nil
 }
 
-// isFresh says whether the records are known as they were a moment ago. Then a request that
+// recordsFresh says whether the records are known as they were a moment ago. Then a request that
 // can't be served is refused at once, and not after a round with the store that only says
 // the same.
-func (m *GrantManager) isFresh() bool {
+func (m *GrantManager) recordsFresh() bool {
 	return m.readAt > 0 && m.o.Clock().Steady-m.readAt < readEvery
 }
 
-// lacks says whether the record can't give what is missing.
-func (m *GrantManager) lacks(h *hold) bool {
+// exceedsRecord says whether the record can't give what is missing.
+func (m *GrantManager) exceedsRecord(h *pendingReservation) bool {
 	p := h.grant
 	return p.free(m.o.Budgets()[p.account])+p.granted-p.used() < h.missing
 }
 
-func (m *GrantManager) stopWaiting(h *hold) {
+func (m *GrantManager) stopWaiting(h *pendingReservation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h.grant.waiting -= h.missing
--- a/internal/escrow/stop.go
+++ b/internal/escrow/stop.go
@@ -15,19 +15,19 @@
 func (m *GrantManager) ReturnGrants(ctx context.Context) error {
 	m.mu.Lock()
 	m.stopped = true
-	away := m.away
+	unreachable := m.away
 	m.mu.Unlock()
-	if away {
+	if unreachable {
 		return ErrUnreachable
 	}
 	const rounds = 8 // each conflict means that another router's write landed
 	var err error
 	for i := 0; i < rounds; i++ {
-		d, any := m.closing()
-		if !any {
+		d, due := m.planReturn()
+		if !due {
 			return nil
 		}
-		if err = m.close(ctx, d); err == nil {
+		if err = m.commitReturn(ctx, d); err == nil {
 			continue
 		}
 		if errors.Is(err, store.ErrConflict) {
@@ -38,7 +38,7 @@
 	return err
 }
 
-func (m *GrantManager) closing() (draw, bool) {
+func (m *GrantManager) planReturn() (draw, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d := draw{}
@@ -55,7 +55,7 @@
 	return d, len(d.grants) > 0
 }
 
-func (m *GrantManager) close(ctx context.Context, d draw) error {
+func (m *GrantManager) commitReturn(ctx context.Context, d draw) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	result, err := m.o.Store.Commit(ctx, d.txn)
--- a/internal/escrow/world_test.go
+++ b/internal/escrow/world_test.go
@@ -104,12 +104,12 @@
 func (w *world) reserve(*rapid.T) {
 	r, account := w.router("router"), w.account()
 	tokens := rapid.Int64Range(1, 15_000).Draw(w.t, "tokens")
-	h := r.keeper.begin(account, tokens, true, "")
+	h := r.keeper.newPendingReservation(account, tokens, true, "")
 	if h.missing > 0 {
 		h.release()
 		// A reservation that waits makes the next round draw for it.
 		if rapid.Bool().Draw(w.t, "waits") {
-			if changed, _ := r.keeper.await(h, false); changed != nil {
+			if changed, _ := r.keeper.fillOrWait(h, false); changed != nil {
 				r.keeper.round(context.Background(), false)
 				r.keeper.stopWaiting(h)
 			}
@@ -124,12 +124,12 @@
 func (w *world) work(*rapid.T) {
 	r, account := w.router("router"), w.account()
 	for i := rapid.IntRange(1, 12).Draw(w.t, "requests"); i > 0; i-- {
-		h := r.keeper.begin(account, rapid.Int64Range(1, 15_000).Draw(w.t, "tokens"), true, "")
-		if changed, _ := r.keeper.await(h, false); changed != nil {
+		h := r.keeper.newPendingReservation(account, rapid.Int64Range(1, 15_000).Draw(w.t, "tokens"), true, "")
+		if changed, _ := r.keeper.fillOrWait(h, false); changed != nil {
 			r.keeper.round(context.Background(), rapid.Bool().Draw(w.t, "refresh"))
 			r.keeper.stopWaiting(h)
 		}
-		if changed, _ := r.keeper.await(h, true); changed != nil {
+		if changed, _ := r.keeper.fillOrWait(h, true); changed != nil {
 			r.keeper.stopWaiting(h)
 		}
 		w.deliver(account, h)
@@ -138,7 +138,7 @@
 }
 
 // deliver ends a request that got its tokens; one that didn't is refused after a while.
-func (w *world) deliver(account string, h *hold) {
+func (w *world) deliver(account string, h *pendingReservation) {
 	if h.missing > 0 {
 		h.release()
 		w.steady += 200 * time.Millisecond
@@ -198,7 +198,7 @@
 	from.keeper.mu.Lock()
 	available := from.keeper.grant(account).available(from.keeper.age())
 	from.keeper.mu.Unlock()
-	from.keeper.noteAsked(from.keeper.grant(account))
+	from.keeper.refreshStandby(from.keeper.grant(account))
 	if from == to || available <= 0 {
 		return
 	}
@@ -209,7 +209,7 @@
 // handBack is a sweep whose gifts arrive, or are lost.
 func (w *world) handBack(*rapid.T) {
 	from := w.router("borrower")
-	for address, tokens := range from.keeper.strays() {
+	for address, tokens := range from.keeper.takeSurplus() {
 		if !rapid.Bool().Draw(w.t, "arrives") {
 			continue
 		}
@@ -338,12 +338,12 @@
 	r, account := w.router("router"), w.account()
 	r.keeper.o.Peers = worldPeers{w: w, own: r}
 	for range rapid.IntRange(1, 20).Draw(w.t, "requests") {
-		h := r.keeper.begin(account, rapid.Int64Range(1, 15_000).Draw(w.t, "tokens"), true, "")
+		h := r.keeper.newPendingReservation(account, rapid.Int64Range(1, 15_000).Draw(w.t, "tokens"), true, "")
 		for range 3 {
-			if changed, _ := r.keeper.await(h, true); changed != nil {
+			if changed, _ := r.keeper.fillOrWait(h, true); changed != nil {
 				r.keeper.round(context.Background(), true)
-				for _, g := range r.keeper.takeGatherings() {
-					r.keeper.gatherOne(context.Background(), g)
+				for _, g := range r.keeper.takeGatherRequests() {
+					r.keeper.runGather(context.Background(), g)
 				}
 				r.keeper.stopWaiting(h)
 			}
