--- a/internal/escrow/gather.go
+++ b/internal/escrow/gather.go
@@ -58,8 +58,8 @@
 	return sum
 }
 
-// gatherRequest is a call for tokens to a router that the record leaves some to.
-type gatherRequest struct {
+// gathering is a call for tokens to a router that the record leaves some to.
+type gathering struct {
 	grant       *grant
 	vm, address string
 	tokens      int64
@@ -81,7 +81,7 @@
 	}
 	p.gathering = true
 	tokens := max(h.missing, int64(p.rate*gatherHorizon.Seconds()))
-	m.gatherings = append(m.gatherings, gatherRequest{grant: p, vm: vm, address: address, tokens: tokens})
+	m.gatherings = append(m.gatherings, gathering{grant: p, vm: vm, address: address, tokens: tokens})
 	select {
 	case m.gatherDue <- struct{}{}:
 	default: // one is due already
@@ -105,13 +105,13 @@
 // not hold up the others.
 func (m *GrantManager) runGathers(ctx context.Context) {
 	var calls conc.WaitGroup
-	for _, g := range m.takeGatherRequests() {
+	for _, g := range m.takeGatherings() {
 		calls.Go(func() { m.runGather(ctx, g) })
 	}
 	calls.Wait()
 }
 
-func (m *GrantManager) takeGatherRequests() []gatherRequest {
+func (m *GrantManager) takeGatherings() []gathering {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	requests := m.gatherings
@@ -138,7 +138,7 @@
 
 // runGather asks one router and ends the gathering. What it lends is what none of its own
 // requests waits for.
-func (m *GrantManager) runGather(ctx context.Context, g gatherRequest) {
+func (m *GrantManager) runGather(ctx context.Context, g gathering) {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
 	p := g.grant
--- a/internal/escrow/gather_test.go
+++ b/internal/escrow/gather_test.go
@@ -66,7 +66,7 @@
 	h := k.newPendingReservation("boatyard", 8_000, true, "")
 	c.Assert(k.shortageError(h), qt.Equals, ErrContended)
 	c.Assert(k.requestGather(h), qt.IsTrue)
-	for _, g := range k.takeGatherRequests() {
+	for _, g := range k.takeGatherings() {
 		k.runGather(context.Background(), g)
 	}
 	c.Assert(k.shortageError(h), qt.Equals, ErrExhausted)
--- a/internal/escrow/holders.go
+++ b/internal/escrow/holders.go
@@ -140,7 +140,7 @@
 // borrowFrom asks one holder.
 func (m *GrantManager) borrowFrom(ctx context.Context, h *pendingReservation, address string) Shortage {
 	loan := m.o.Peers.BorrowFrom(ctx, address, h.grant.account, h.missing, h.waiterID)
-	h.addLoan(loan.Tokens)
+	h.received(loan.Tokens)
 	// A request whose time is over tells nothing of whom it asked.
 	if ctx.Err() == nil && (loan.Short == PeerUnreachable || loan.Short == StoreUnreachable) {
 		m.markUnavailable(address)
@@ -245,26 +245,26 @@
 
 // recentLoans sums up the tokens lent in the present recentLoanWindow and the one before it.
 type recentLoans struct {
-	windowStart       time.Duration
-	current, previous int64
+	windowStart   time.Duration
+	now, previous int64
 }
 
 func (r *recentLoans) add(tokens int64, now time.Duration) {
 	r.rotate(now)
-	r.current += tokens
+	r.now += tokens
 }
 
 func (r *recentLoans) sum(now time.Duration) int64 {
 	r.rotate(now)
-	return r.current + r.previous
+	return r.now + r.previous
 }
 
 func (r *recentLoans) rotate(now time.Duration) {
 	switch passed := now - r.windowStart; {
 	case passed >= 2*recentLoanWindow:
-		r.current, r.previous, r.windowStart = 0, 0, now
+		r.now, r.previous, r.windowStart = 0, 0, now
 	case passed >= recentLoanWindow:
-		r.previous, r.current, r.windowStart = r.current, 0, now
+		r.previous, r.now, r.windowStart = r.now, 0, now
 	}
 }
 
@@ -279,22 +279,22 @@
 		return ErrUnreachable
 	}
 	missing := h.missing
-	got, used := m.o.Peers.Borrow(ctx, h.grant.account, missing)
-	h.addLoan(got)
+	received, used := m.o.Peers.Borrow(ctx, h.grant.account, missing)
+	h.received(received)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	record := h.grant.record
 	prepaid := m.o.Budgets()[h.grant.account]
-	if got > 0 || h.grant.lackLog.due(m.o.Clock().Steady) {
+	if received > 0 || h.grant.lackLog.due(m.o.Clock().Steady) {
 		m.o.Log.Emit(event.TokensBorrowed, slog.String(event.KeyBudget, h.grant.account), slog.Int64("missing", missing),
-			slog.Int64(event.KeyTokens, got), slog.Int64("prepaid", prepaid), slog.Int64("given", record.TotalGranted()),
+			slog.Int64(event.KeyTokens, received), slog.Int64("prepaid", prepaid), slog.Int64("given", record.TotalGranted()),
 			slog.Int64("closed", record.Closed), slog.Int64("used", used), slog.Any(event.KeyCause, ErrUnreachable),
 			slog.Int("unlogged", h.grant.lackLog.take()))
 	}
 	if h.missing == 0 {
 		return nil
 	}
-	if got == 0 {
+	if received == 0 {
 		h.grant.fruitless = m.o.Clock().Steady
 	}
 	// All that is surely used, with reservations at their most. What nobody could
--- a/internal/escrow/keeper.go
+++ b/internal/escrow/keeper.go
@@ -97,7 +97,7 @@
 	// unreached is when a VM that was asked for what it holds last gave no answer.
 	unreached map[string]time.Duration
 	// gatherings are ordered and not begun.
-	gatherings []gatherRequest
+	gatherings []gathering
 	gatherDue  chan struct{}
 	// conflicts counts writes in a row that lost the race for a record.
 	conflicts int
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -164,8 +164,8 @@
 	return h.missing
 }
 
-// addLoan adds what another router gave.
-func (h *pendingReservation) addLoan(tokens int64) {
+// received adds what another router gave.
+func (h *pendingReservation) received(tokens int64) {
 	h.keeper.mu.Lock()
 	defer h.keeper.mu.Unlock()
 	h.grant.borrowed += tokens
@@ -198,8 +198,8 @@
 
 // awaitDraw waits until the hold is filled by a draw, or says why it can't be.
 func (m *GrantManager) awaitDraw(ctx context.Context, h *pendingReservation) error {
-	timeout := time.NewTimer(m.drawTimeout())
-	defer timeout.Stop()
+	drawTimeout := time.NewTimer(m.drawTimeout())
+	defer drawTimeout.Stop()
 	for round := 0; ; round++ {
 		changed, err := m.fillOrWait(h, round > 0)
 		if changed == nil {
@@ -208,7 +208,7 @@
 		select {
 		case <-ctx.Done():
 			err = ErrUnreachable
-		case <-timeout.C:
+		case <-drawTimeout.C:
 			err = m.drawTimeoutError(h)
 		case <-changed:
 		}
--- a/internal/escrow/stop.go
+++ b/internal/escrow/stop.go
@@ -15,19 +15,19 @@
 func (m *GrantManager) ReturnGrants(ctx context.Context) error {
 	m.mu.Lock()
 	m.stopped = true
-	unreachable := m.away
+	away := m.away
 	m.mu.Unlock()
-	if unreachable {
+	if away {
 		return ErrUnreachable
 	}
 	const rounds = 8 // each conflict means that another router's write landed
 	var err error
 	for i := 0; i < rounds; i++ {
-		d, due := m.planReturn()
-		if !due {
+		d, any := m.planReturn()
+		if !any {
 			return nil
 		}
-		if err = m.commitReturn(ctx, d); err == nil {
+		if err = m.close(ctx, d); err == nil {
 			continue
 		}
 		if errors.Is(err, store.ErrConflict) {
@@ -55,7 +55,7 @@
 	return d, len(d.grants) > 0
 }
 
-func (m *GrantManager) commitReturn(ctx context.Context, d draw) error {
+func (m *GrantManager) close(ctx context.Context, d draw) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	result, err := m.o.Store.Commit(ctx, d.txn)
--- a/internal/escrow/world_test.go
+++ b/internal/escrow/world_test.go
@@ -342,7 +342,7 @@
 		for range 3 {
 			if changed, _ := r.keeper.fillOrWait(h, true); changed != nil {
 				r.keeper.round(context.Background(), true)
-				for _, g := range r.keeper.takeGatherRequests() {
+				for _, g := range r.keeper.takeGatherings() {
 					r.keeper.runGather(context.Background(), g)
 				}
 				r.keeper.stopWaiting(h)
