--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -30,9 +30,9 @@
 
 // account is the use of one account at this router.
 type account struct {
-	tokens  float64 // requests that may begin at once
-	at      time.Time
-	running int
+	tokens     float64 // requests that may begin at once
+	lastRefill time.Time
+	inFlight   int
 }
 
 // New makes a limiter. routers tells how many routers share the limits; a nil now
@@ -46,23 +46,23 @@
 
 // Admit takes one request of an account, or says after which time another try makes
 // sense. done must be called when an admitted request has ended.
-func (l *Limiter) Admit(name string, limits Limits) (done func(), wait time.Duration, ok bool) {
+func (l *Limiter) Admit(name string, limits Limits) (release func(), wait time.Duration, ok bool) {
 	share := min(1, headroom/float64(max(1, l.routers())))
 	rate := limits.PerSecond * share
 	burst := max(1, float64(limits.Burst)*share)
-	atOnce := max(1, int(float64(limits.InFlight)*share))
+	maxInFlight := max(1, int(float64(limits.InFlight)*share))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(name, rate, burst)
-	if a.running >= atOnce {
+	if a.inFlight >= maxInFlight {
 		return nil, time.Second, false
 	}
 	if a.tokens < 1 {
 		return nil, time.Duration((1 - a.tokens) / rate * float64(time.Second)), false
 	}
 	a.tokens--
-	a.running++
-	return func() { l.done(a) }, 0, true
+	a.inFlight++
+	return func() { l.release(a) }, 0, true
 }
 
 // account brings an account's tokens up to now.
@@ -70,16 +70,16 @@
 	now := l.now()
 	a := l.accounts[name]
 	if a == nil {
-		a = &account{tokens: burst, at: now}
+		a = &account{tokens: burst, lastRefill: now}
 		l.accounts[name] = a
 	}
-	a.tokens = min(burst, a.tokens+rate*now.Sub(a.at).Seconds())
-	a.at = now
+	a.tokens = min(burst, a.tokens+rate*now.Sub(a.lastRefill).Seconds())
+	a.lastRefill = now
 	return a
 }
 
-func (l *Limiter) done(a *account) {
+func (l *Limiter) release(a *account) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a.running--
+	a.inFlight--
 }
--- a/internal/pacing/cold.go
+++ b/internal/pacing/cold.go
@@ -6,9 +6,9 @@
 	"chicorytiller.example/chicorytiller/internal/fleet"
 )
 
-// coldShare is the part of a cold server's rate that its sender uses. While the sender changes
+// coldRateFraction is the part of a cold server's rate that its sender uses. While the sender changes
 // there may be two for some seconds; together they stay below one and a half times the rate.
-const coldShare = 0.7
+const coldRateFraction = 0.7
 
 // coldWindow is the time in which a cold server's requests are counted.
 const coldWindow = time.Second
@@ -19,8 +19,8 @@
 	return s.ColdFor(l.Now()) > 0 && l.ColdRate(s.Service) > 0
 }
 
-// coldRoom counts what was sent to a cold server within the window; the limiter is locked.
-func (l *Limiter) coldRoom(s *fleet.Server, now time.Time) bool {
+// hasColdCapacity counts what was sent to a cold server within the window; the limiter is locked.
+func (l *Limiter) hasColdCapacity(s *fleet.Server, now time.Time) bool {
 	if l.cold == nil {
 		l.cold = make(map[string][]time.Time)
 	}
@@ -33,5 +33,5 @@
 	} else {
 		l.cold[s.Incarnation] = recent
 	}
-	return float64(len(recent)+1) <= coldShare*l.ColdRate(s.Service)
+	return float64(len(recent)+1) <= coldRateFraction*l.ColdRate(s.Service)
 }
--- a/internal/pacing/fleet_test.go
+++ b/internal/pacing/fleet_test.go
@@ -116,7 +116,7 @@
 		}
 	}
 	w.name(-1)
-	w.run(confirmEvery + turnLength + 10*time.Second)
+	w.run(refreshInterval + rotationInterval + 10*time.Second)
 	for _, r := range w.routers {
 		qt.Check(t, r.limits.Count(), qt.Equals, 0)
 	}
--- a/internal/pacing/limiter.go
+++ b/internal/pacing/limiter.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	// rampTime is how long a new sender to a limited server sends at rampPart of its rate:
+	// rampDuration is how long a new sender to a limited server sends at rampPart of its rate:
 	// longer than a router that doesn't know yet that it is none any more goes on sending.
 	// Together they stay below one and a half times the limit.
-	rampTime = 3500 * time.Millisecond
-	rampPart = 0.5
-	// sendersLeast and sendersPerRate are how many routers send to a limited server, and how
+	rampDuration = 3500 * time.Millisecond
+	rampFraction = 0.5
+	// minSenders and sendersPerRate are how many routers send to a limited server, and how
 	// many more for each request a second. Each may have one request saved up, and five may
 	// come beyond one and a half times the limit.
-	sendersLeast   = 3
-	sendersPerRate = 0.25
-	// senderRate is the least rate of a sender, where there is more than one: with less it
+	minSenders    = 3
+	sendersPerRPS = 0.25
+	// minSenderRate is the least rate of a sender, where there is more than one: with less it
 	// waits for seconds until it may send at all.
-	senderRate = 0.4
-	// turnLength is how long the first senders in rank may leave a limit unconfirmed before
+	minSenderRate = 0.4
+	// rotationInterval is how long the first senders in rank may leave a limit unconfirmed before
 	// the next in rank stand in: a sender without callers never hears of the limit's end.
-	turnLength = 25 * time.Second
-	// leastPerSecond is the rate at which a server that takes nothing, or next to nothing,
+	rotationInterval = 25 * time.Second
+	// minProbeRate is the rate at which a server that takes nothing, or next to nothing,
 	// is asked whether it still does.
-	leastPerSecond = 0.1
-	// askEvery is how often a sender's request goes to a limited server whatever else speaks
+	minProbeRate = 0.1
+	// probeInterval is how often a sender's request goes to a limited server whatever else speaks
 	// for another one, so that the end of the limit is heard.
-	askEvery = time.Second
-	// placeKept is how long a rank is used again: each request looks at all servers.
-	placeKept = 50 * time.Millisecond
-	// waitMost bounds the time after which callers are told to come again.
-	waitMost = 10 * time.Second
+	probeInterval = time.Second
+	// rankCacheTTL is how long a rank is used again: each request looks at all servers.
+	rankCacheTTL = 50 * time.Millisecond
+	// maxDelay bounds the time after which callers are told to come again.
+	maxDelay = 10 * time.Second
 )
 
 // SenderRank is where this router stands among all routers for a server.
@@ -64,13 +64,13 @@
 	mu      sync.Mutex
 	cold    map[string][]time.Time // sent within the window, by start of the server
 	buckets map[string]*bucket     // of limited servers, by start
-	places  map[string]placeAt     // of late, by start
+	ranks   map[string]cachedRank  // of late, by start
 }
 
-// placeAt is a rank and when it was looked up.
-type placeAt struct {
+// cachedRank is a rank and when it was looked up.
+type cachedRank struct {
 	SenderRank
-	at time.Time
+	fetchedAt time.Time
 }
 
 // Bounded says whether a server bears few requests now.
@@ -83,37 +83,37 @@
 
 // Room says whether Take would allow a request to a bounded server.
 func (l *Limiter) CanAcquire(s *fleet.Server) bool {
-	return l.permit(s, false)
+	return l.allow(s, false)
 }
 
 // Take asks for one request to a bounded server. It is counted if it is allowed.
 func (l *Limiter) TryAcquire(s *fleet.Server) bool {
-	return l.permit(s, true)
+	return l.allow(s, true)
 }
 
-// permit says whether a request is allowed, and counts it if it is to be taken.
-func (l *Limiter) permit(s *fleet.Server, take bool) bool {
+// allow says whether a request is allowed, and counts it if it is to be taken.
+func (l *Limiter) allow(s *fleet.Server, consume bool) bool {
 	now, cold := l.Now(), l.isCold(s)
 	limit, limited := l.Limits.Lookup(s.Incarnation)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	place := l.place(s.Incarnation, now)
-	if cold && !(place.Valid && place.Position == 0 && l.coldRoom(s, now)) {
+	rank := l.rank(s.Incarnation, now)
+	if cold && !(rank.Valid && rank.Position == 0 && l.hasColdCapacity(s, now)) {
 		return false
 	}
 	var b *bucket
 	if limited {
-		b = l.bucket(s.Incarnation, limit, place, now)
+		b = l.bucket(s.Incarnation, limit, rank, now)
 		if b == nil || b.tokens < 1 {
 			return false
 		}
 	}
-	if take && cold {
+	if consume && cold {
 		l.cold[s.Incarnation] = append(l.cold[s.Incarnation], now)
 	}
-	if take && limited {
+	if consume && limited {
 		b.tokens--
-		b.taken = now
+		b.lastUse = now
 	}
 	return true
 }
@@ -128,8 +128,8 @@
 	now := l.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := l.bucket(s.Incarnation, limit, l.place(s.Incarnation, now), now)
-	return b != nil && b.tokens >= 1 && now.Sub(b.taken) >= askEvery
+	b := l.bucket(s.Incarnation, limit, l.rank(s.Incarnation, now), now)
+	return b != nil && b.tokens >= 1 && now.Sub(b.lastUse) >= probeInterval
 }
 
 // Wait is the time after which another request to a bounded server makes sense.
@@ -146,24 +146,24 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	missing := 1.0
-	if b := l.bucket(s.Incarnation, limit, l.place(s.Incarnation, now), now); b != nil {
+	if b := l.bucket(s.Incarnation, limit, l.rank(s.Incarnation, now), now); b != nil {
 		missing = max(0, 1-b.tokens)
 	}
-	next := time.Duration(missing / max(limit.PerSecond, leastPerSecond) * float64(time.Second))
-	return max(wait, min(next, waitMost))
+	untilToken := time.Duration(missing / max(limit.PerSecond, minProbeRate) * float64(time.Second))
+	return max(wait, min(untilToken, maxDelay))
 }
 
-// place is this router's rank as of a moment ago; the limiter is locked.
-func (l *Limiter) place(start string, now time.Time) SenderRank {
-	known, found := l.places[start]
-	if found && now.Sub(known.at) < placeKept {
+// rank is this router's rank as of a moment ago; the limiter is locked.
+func (l *Limiter) rank(start string, now time.Time) SenderRank {
+	known, found := l.ranks[start]
+	if found && now.Sub(known.fetchedAt) < rankCacheTTL {
 		return known.SenderRank
 	}
-	if l.places == nil || len(l.places) >= limitsMost {
-		l.places = make(map[string]placeAt)
+	if l.ranks == nil || len(l.ranks) >= maxTrackedServers {
+		l.ranks = make(map[string]cachedRank)
 	}
-	known = placeAt{SenderRank: l.SenderRank(start), at: now}
-	l.places[start] = known
+	known = cachedRank{SenderRank: l.SenderRank(start), fetchedAt: now}
+	l.ranks[start] = known
 	return known.SenderRank
 }
 
@@ -171,42 +171,42 @@
 // more of them more callers find one that may send; with a bounded number the requests that
 // each may have saved up stay below what is allowed beside the limit, whatever the fleet.
 func senders(perSecond float64) int {
-	most := sendersLeast + sendersPerRate*perSecond
-	return max(1, int(math.Floor(min(most, perSecond/senderRate))))
+	maxSenders := minSenders + sendersPerRPS*perSecond
+	return max(1, int(math.Floor(min(maxSenders, perSecond/minSenderRate))))
 }
 
 // isSender says whether this router is one of those that send to a limited server. It never
 // is before the limit is recorded, since the routers take turns by the age of the record.
-func (l *Limiter) isSender(limit Limit, place SenderRank, now time.Time) bool {
-	if !place.Valid || limit.RecordedAt.IsZero() {
+func (l *Limiter) isSender(limit Limit, rank SenderRank, now time.Time) bool {
+	if !rank.Valid || limit.RecordedAt.IsZero() {
 		return false
 	}
 	n := senders(limit.PerSecond)
-	turn := int(now.Sub(limit.RecordedAt) / turnLength)
-	first := turn * n % place.Total
-	return (place.Position-first+place.Total)%place.Total < n
+	rotation := int(now.Sub(limit.RecordedAt) / rotationInterval)
+	firstPosition := rotation * n % rank.Total
+	return (rank.Position-firstPosition+rank.Total)%rank.Total < n
 }
 
 // bucket returns the allowance of a limited server as of now; nil: this router sends it
 // nothing. The limiter is locked.
-func (l *Limiter) bucket(start string, limit Limit, place SenderRank, now time.Time) *bucket {
-	if !l.isSender(limit, place, now) {
+func (l *Limiter) bucket(start string, limit Limit, rank SenderRank, now time.Time) *bucket {
+	if !l.isSender(limit, rank, now) {
 		delete(l.buckets, start)
 		return nil
 	}
 	b := l.buckets[start]
 	if b == nil {
-		l.forgetBuckets()
-		b = &bucket{at: now, since: now}
+		l.pruneBuckets()
+		b = &bucket{lastRefill: now, senderSince: now}
 		l.buckets[start] = b
 	}
-	n := min(senders(limit.PerSecond), place.Total)
-	b.refill(max(limit.PerSecond, leastPerSecond)/float64(n), now)
+	n := min(senders(limit.PerSecond), rank.Total)
+	b.refill(max(limit.PerSecond, minProbeRate)/float64(n), now)
 	return b
 }
 
-// forgetBuckets drops those of servers that are not limited any more.
-func (l *Limiter) forgetBuckets() {
+// pruneBuckets drops those of servers that are not limited any more.
+func (l *Limiter) pruneBuckets() {
 	if l.buckets == nil {
 		l.buckets = make(map[string]*bucket)
 	}
@@ -220,16 +220,16 @@
 // bucket is an allowance of one request at most that fills with time. It begins empty: the
 // router that sent before may have used its own a moment ago.
 type bucket struct {
-	tokens float64
-	at     time.Time
-	since  time.Time // when this router became a sender
-	taken  time.Time // when it was last used; zero: never
+	tokens      float64
+	lastRefill  time.Time
+	senderSince time.Time // when this router became a sender
+	lastUse     time.Time // when it was last used; zero: never
 }
 
 func (b *bucket) refill(perSecond float64, now time.Time) {
-	if now.Sub(b.since) < rampTime {
-		perSecond *= rampPart
+	if now.Sub(b.senderSince) < rampDuration {
+		perSecond *= rampFraction
 	}
-	b.tokens = min(1, b.tokens+perSecond*now.Sub(b.at).Seconds())
-	b.at = now
+	b.tokens = min(1, b.tokens+perSecond*now.Sub(b.lastRefill).Seconds())
+	b.lastRefill = now
 }
--- a/internal/pacing/limits.go
+++ b/internal/pacing/limits.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// endQuiet is how long after the last word of a limit a request must have been sent for
+	// endGracePeriod is how long after the last word of a limit a request must have been sent for
 	// its answer to end the limit. An answer that was under way when the limit began, or a
 	// server that names it in most answers only, doesn't end it.
-	endQuiet = 2 * time.Second
-	// wordLag is the greatest time that a record takes to be known at all routers. What a
+	endGracePeriod = 2 * time.Second
+	// maxRecordLag is the greatest time that a record takes to be known at all routers. What a
 	// router heard from the server itself within it may be newer than a record of the end.
-	wordLag = 3 * time.Second
-	// sameRate is the relative difference below which two rates count as the same.
-	sameRate = 0.1
-	// limitsMost bounds the servers kept; some hundred bytes each.
-	limitsMost = 8192
-	// goneKept is how long the limit of a server that isn't registered is kept.
-	goneKept = time.Minute
+	maxRecordLag = 3 * time.Second
+	// rateTolerance is the relative difference below which two rates count as the same.
+	rateTolerance = 0.1
+	// maxTrackedServers bounds the servers kept; some hundred bytes each.
+	maxTrackedServers = 8192
+	// unregisteredTTL is how long the limit of a server that isn't registered is kept.
+	unregisteredTTL = time.Minute
 )
 
 // Limit is a server's limit as this router knows it.
@@ -47,21 +47,21 @@
 
 	mu    sync.Mutex
 	known map[string]*limit // by start of the server
-	// view holds the limits in force, by start of the server. The map never changes.
-	view atomic.Pointer[map[string]Limit]
-	wake chan struct{}
+	// inForce holds the limits in force, by start of the server. The map never changes.
+	inForce atomic.Pointer[map[string]Limit]
+	wake    chan struct{}
 }
 
 // limit is what is known of one server's.
 type limit struct {
 	start     string
 	perSecond float64
-	// over: the limit has ended. It is kept so that an older record can't bring it back.
-	over bool
-	// heard is when an answer to this router last named it; zero: none did.
-	heard time.Time
-	// endedHere: this router found the end, and is to tell the others.
-	endedHere bool
+	// ended: the limit has ended. It is kept so that an older record can't bring it back.
+	ended bool
+	// reported is when an answer to this router last named it; zero: none did.
+	reported time.Time
+	// endedLocally: this router found the end, and is to tell the others.
+	endedLocally bool
 	// record is the last one known, and recorded when it became known; zero: none.
 	record   Record
 	item     store.Item
@@ -81,66 +81,66 @@
 
 // Lookup returns the limit in force of a server, by its start.
 func (l *Limits) Lookup(start string) (Limit, bool) {
-	view := *l.view.Load()
-	if len(view) == 0 {
+	inForce := *l.inForce.Load()
+	if len(inForce) == 0 {
 		return Limit{}, false
 	}
-	limit, found := view[start]
+	limit, found := inForce[start]
 	return limit, found
 }
 
 // Count is how many servers limit their requests.
 func (l *Limits) Count() int {
-	return len(*l.view.Load())
+	return len(*l.inForce.Load())
 }
 
 // Answered takes what an answer to a request says, and when that request was sent.
-func (l *Limits) Answered(s *fleet.Server, said fleet.RateLimit, sent time.Time) {
-	if _, limited := l.Lookup(s.Incarnation); said.State == fleet.LimitInvalid || said.State == fleet.LimitAbsent && !limited {
+func (l *Limits) Answered(s *fleet.Server, rateLimit fleet.RateLimit, sent time.Time) {
+	if _, limited := l.Lookup(s.Incarnation); rateLimit.State == fleet.LimitInvalid || rateLimit.State == fleet.LimitAbsent && !limited {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if said.State == fleet.LimitPresent {
-		l.heard(s, said.PerSecond)
+	if rateLimit.State == fleet.LimitPresent {
+		l.reported(s, rateLimit.PerSecond)
 	} else {
-		l.heardNone(s, sent)
+		l.reportedNone(s, sent)
 	}
 	l.publish()
-	l.signal()
+	l.notify()
 }
 
-// heard takes a limit that a server named to this router.
-func (l *Limits) heard(s *fleet.Server, perSecond float64) {
+// reported takes a limit that a server named to this router.
+func (l *Limits) reported(s *fleet.Server, perSecond float64) {
 	known := l.known[s.Incarnation]
-	if known == nil && len(l.known) >= limitsMost {
+	if known == nil && len(l.known) >= maxTrackedServers {
 		return
 	}
 	if known == nil {
-		known = &limit{start: s.Incarnation, over: true}
+		known = &limit{start: s.Incarnation, ended: true}
 		l.known[s.Incarnation] = known
 	}
-	if known.over || !isSameRate(known.perSecond, perSecond) {
+	if known.ended || !ratesEqual(known.perSecond, perSecond) {
 		l.log.Emit(event.BackendLimited, slog.String(event.KeyBackend, s.ID), slog.Float64("per_second", perSecond), slog.String("by", "answer"))
 	}
-	known.perSecond, known.heard = perSecond, l.now()
-	known.over, known.endedHere = false, false
+	known.perSecond, known.reported = perSecond, l.now()
+	known.ended, known.endedLocally = false, false
 }
 
-// heardNone takes that a server named no limit to this router.
-func (l *Limits) heardNone(s *fleet.Server, sent time.Time) {
+// reportedNone takes that a server named no limit to this router.
+func (l *Limits) reportedNone(s *fleet.Server, sent time.Time) {
 	known := l.known[s.Incarnation]
-	if known == nil || known.over {
+	if known == nil || known.ended {
 		return
 	}
-	last := known.heard
+	last := known.reported
 	if known.recorded.After(last) {
 		last = known.recorded
 	}
-	if sent.Sub(last) < endQuiet {
+	if sent.Sub(last) < endGracePeriod {
 		return
 	}
-	known.over, known.endedHere = true, true
+	known.ended, known.endedLocally = true, true
 	l.log.Emit(event.BackendUnlimited, slog.String(event.KeyBackend, s.ID), slog.String("by", "answer"),
 		slog.Int64("named_ms", l.now().Sub(last).Milliseconds()))
 }
@@ -158,33 +158,33 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.learn(item, record)
+	l.apply(item, record)
 	l.publish()
-	l.signal()
+	l.notify()
 	return true
 }
 
-func (l *Limits) learn(item store.Item, record Record) {
+func (l *Limits) apply(item store.Item, record Record) {
 	known := l.known[record.Incarnation]
-	if known != nil && known.item.Revision >= item.Revision || known == nil && len(l.known) >= limitsMost {
+	if known != nil && known.item.Revision >= item.Revision || known == nil && len(l.known) >= maxTrackedServers {
 		return
 	}
 	if known == nil {
-		known = &limit{start: record.Incarnation, over: true}
+		known = &limit{start: record.Incarnation, ended: true}
 		l.known[record.Incarnation] = known
 	}
 	now := l.now()
 	known.record, known.item, known.recorded = record, item, now
-	heardLately := !known.heard.IsZero() && now.Sub(known.heard) < wordLag
+	reportedRecently := !known.reported.IsZero() && now.Sub(known.reported) < maxRecordLag
 	switch {
-	case record.Ended && !known.over && !heardLately:
-		known.over = true
+	case record.Ended && !known.ended && !reportedRecently:
+		known.ended = true
 		l.logRecord(event.BackendUnlimited, item, record)
-	case !record.Ended && !heardLately:
-		if known.over || !isSameRate(known.perSecond, record.PerSecond) {
+	case !record.Ended && !reportedRecently:
+		if known.ended || !ratesEqual(known.perSecond, record.PerSecond) {
 			l.logRecord(event.BackendLimited, item, record)
 		}
-		known.over, known.endedHere, known.perSecond = false, false, record.PerSecond
+		known.ended, known.endedLocally, known.perSecond = false, false, record.PerSecond
 	}
 }
 
@@ -199,7 +199,7 @@
 	defer l.mu.Unlock()
 	var items []store.Item
 	for _, known := range l.known {
-		if !known.over && !known.recorded.IsZero() {
+		if !known.ended && !known.recorded.IsZero() {
 			items = append(items, known.item)
 		}
 	}
@@ -211,26 +211,26 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	old := func(at time.Time) bool { return now.Sub(at) > goneKept }
+	old := func(at time.Time) bool { return now.Sub(at) > unregisteredTTL }
 	maps.DeleteFunc(l.known, func(start string, known *limit) bool {
-		return old(known.heard) && old(known.recorded) && (known.over || !registered(start))
+		return old(known.reported) && old(known.recorded) && (known.ended || !registered(start))
 	})
 	l.publish()
 }
 
 // publish makes the view anew.
 func (l *Limits) publish() {
-	view := make(map[string]Limit)
+	inForce := make(map[string]Limit)
 	for start, known := range l.known {
-		if !known.over {
-			view[start] = Limit{PerSecond: known.perSecond, RecordedAt: known.recordedSince()}
+		if !known.ended {
+			inForce[start] = Limit{PerSecond: known.perSecond, RecordedAt: known.recordedAt()}
 		}
 	}
-	l.view.Store(&view)
+	l.inForce.Store(&inForce)
 }
 
-// recordedSince is when the record of the limit in force became known; zero: there is none.
-func (k *limit) recordedSince() time.Time {
+// recordedAt is when the record of the limit in force became known; zero: there is none.
+func (k *limit) recordedAt() time.Time {
 	if k.record.Ended {
 		return time.Time{}
 	}
@@ -242,7 +242,7 @@
 	return slices.Sorted(maps.Keys(l.known))
 }
 
-// isSameRate says whether two rates differ by little.
-func isSameRate(a, b float64) bool {
-	return math.Abs(a-b) <= sameRate*max(a, b)
+// ratesEqual says whether two rates differ by little.
+func ratesEqual(a, b float64) bool {
+	return math.Abs(a-b) <= rateTolerance*max(a, b)
 }
--- a/internal/pacing/limits_test.go
+++ b/internal/pacing/limits_test.go
@@ -35,7 +35,7 @@
 // rankAt gives the router another rank, and the time to notice it.
 func (f *fixture) rankAt(ahead int) {
 	f.place.Position = ahead
-	f.pass(placeKept)
+	f.pass(rankCacheTTL)
 }
 
 // answer is an answer to a request that was sent some time before.
@@ -84,7 +84,7 @@
 	f.pass(5 * time.Second)
 	f.answer(fleet.RateLimit{}, 5*time.Second+time.Millisecond)
 	f.Assert(f.limits.Count(), qt.Equals, 1)
-	f.answer(fleet.RateLimit{}, 5*time.Second-endQuiet/2)
+	f.answer(fleet.RateLimit{}, 5*time.Second-endGracePeriod/2)
 	f.Assert(f.limits.Count(), qt.Equals, 1)
 	f.answer(fleet.RateLimit{State: fleet.LimitInvalid}, time.Millisecond)
 	f.Assert(f.limits.Count(), qt.Equals, 1)
@@ -149,7 +149,7 @@
 	f.Assert(next, qt.IsNotNil)
 	f.Assert(next.Ended, qt.IsFalse)
 
-	f.pass(wordLag)
+	f.pass(maxRecordLag)
 	f.record(Record{PerSecond: 1.2})
 	f.record(Record{Ended: true})
 	f.Assert(f.limits.Count(), qt.Equals, 0)
@@ -178,7 +178,7 @@
 	sweep := func() { f.limits.Prune(func(string) bool { return registered }) }
 	sweep()
 	f.Assert(f.limits.Count(), qt.Equals, 1)
-	f.pass(goneKept + time.Second)
+	f.pass(unregisteredTTL + time.Second)
 	registered = true
 	sweep()
 	f.Assert(f.limits.Count(), qt.Equals, 1)
@@ -194,7 +194,7 @@
 	f.record(Record{PerSecond: 0.5})
 	f.Assert(f.limiter.Delay(f.server), qt.Equals, 2*time.Second)
 	f.record(Record{PerSecond: 0})
-	f.Assert(f.limiter.Delay(f.server), qt.Equals, waitMost)
+	f.Assert(f.limiter.Delay(f.server), qt.Equals, maxDelay)
 	f.record(Record{PerSecond: 100})
 	f.pass(time.Second)
 	f.Assert(f.limiter.CanAcquire(f.server), qt.IsTrue)
@@ -211,6 +211,6 @@
 	qt.Assert(t, y.ShouldYield("engines", 3), qt.IsFalse)
 	qt.Assert(t, y.ShouldYield("engines", 0), qt.IsFalse)
 	qt.Assert(t, y.ShouldYield("others", 9), qt.IsFalse)
-	now = now.Add(yieldFor)
+	now = now.Add(yieldDuration)
 	qt.Assert(t, y.ShouldYield("engines", 9), qt.IsFalse)
 }
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -15,9 +15,9 @@
 	Extra float64
 }
 
-// margin keeps each router below its share, for repeats that arrive late, in a
+// safetyMargin keeps each router below its share, for repeats that arrive late, in a
 // later window than the requests that allowed them.
-const margin = 0.8
+const safetyMargin = 0.8
 
 // Budget allows repeats out of this router's own requests, and its equal part of
 // Extra. Since each router keeps to its share, their sum keeps to the whole
@@ -34,7 +34,7 @@
 // window is the requests and repeats of one service within Limits.Window.
 type window struct {
 	requests []time.Time
-	repeats  []time.Time
+	retries  []time.Time
 }
 
 // NewBudget makes a budget shared with routers-1 others. A nil now means time.Now.
@@ -65,11 +65,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
-	allowed := margin * (b.limits.Ratio*float64(len(w.requests)) + b.limits.Extra/float64(b.routers))
-	if float64(len(w.repeats)+1) > allowed {
+	allowed := safetyMargin * (b.limits.Ratio*float64(len(w.requests)) + b.limits.Extra/float64(b.routers))
+	if float64(len(w.retries)+1) > allowed {
 		return false
 	}
-	w.repeats = append(w.repeats, b.now())
+	w.retries = append(w.retries, b.now())
 	return true
 }
 
@@ -81,12 +81,12 @@
 		b.services[service] = w
 	}
 	start := b.now().Add(-b.limits.Window)
-	w.requests = after(w.requests, start)
-	w.repeats = after(w.repeats, start)
+	w.requests = dropBefore(w.requests, start)
+	w.retries = dropBefore(w.retries, start)
 	return w
 }
 
-func after(times []time.Time, start time.Time) []time.Time {
+func dropBefore(times []time.Time, start time.Time) []time.Time {
 	i := 0
 	for i < len(times) && times[i].Before(start) {
 		i++
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -64,7 +64,7 @@
 	qt.Assert(t, StartsQuarantine(q.RecordCrash(7)), qt.IsTrue)
 	qt.Assert(t, q.Contains(7), qt.IsTrue)
 	qt.Assert(t, q.Contains(8), qt.IsFalse)
-	now = now.Add(suspectKept)
+	now = now.Add(suspectTTL)
 	qt.Assert(t, q.Contains(7), qt.IsFalse)
 
 	q.Insert(9)
@@ -74,8 +74,8 @@
 // A mass break of connections makes many innocents suspect; the memory is bounded.
 func TestSuspectsAreBounded(t *testing.T) {
 	q := NewQuarantine(nil)
-	for content := uint64(0); content < 2*suspectsMost; content++ {
+	for content := uint64(0); content < 2*maxSuspects; content++ {
 		q.RecordCrash(content)
 	}
-	qt.Assert(t, len(q.broken) <= suspectsMost, qt.IsTrue)
+	qt.Assert(t, len(q.suspects) <= maxSuspects, qt.IsTrue)
 }
