--- a/internal/escrow/ceiling_test.go
+++ b/internal/escrow/ceiling_test.go
@@ -17,13 +17,13 @@
 	b := newBench(1_000_000)
 	k := b.keeper("p1", noPeers{})
 	b.steady = time.Second
-	k.round(context.Background(), true)
-	k.away = true
+	k.syncStore(context.Background(), true)
+	k.storeDown = true
 	b.steady = 9 * time.Second
 	d, due := k.plan(true)
 	c.Assert(due, qt.IsTrue)
 	c.Assert(d.ledger.Contact.Steady, qt.Equals, time.Second)
-	c.Assert(k.age(), qt.Equals, 8*time.Second)
+	c.Assert(k.contactAge(), qt.Equals, 8*time.Second)
 }
 
 // Guards against a late, older ledger in the place of a newer one.
@@ -32,10 +32,10 @@
 	b, k, _ := startedBench()
 	b.store.SetFate(func(store.Txn) memstore.Fate { return memstore.Late })
 	b.steady += time.Second
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	b.store.SetFate(func(store.Txn) memstore.Fate { return memstore.Answered })
 	b.steady += 2 * time.Second // the contact lease that the late write is bound to still runs
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	newest := ledgerOf(c, b)
 	b.store.Settle()
 	c.Assert(ledgerOf(c, b), qt.DeepEquals, newest)
@@ -45,16 +45,16 @@
 func TestUnansweredWriteBindsFromItsSending(t *testing.T) {
 	c := qt.New(t)
 	b, k, p := startedBench()
-	rate, ceiling := p.allowed.OutageRate, p.allowed.Ceiling
+	rate, ceiling := p.allowance.OutageRate, p.allowance.Ceiling
 	c.Assert(p.granted > ceiling, qt.IsTrue)
 
 	b.home, b.paid["boatyard"] = "elsewhere", 500_000
 	b.store.SetFate(func(store.Txn) memstore.Fate { return memstore.Late })
 	b.steady += time.Second
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	c.Assert(p.granted, qt.Equals, ceiling)
-	c.Assert(p.pendingAt, qt.Equals, p.revision)
-	c.Assert(p.allowed.OutageRate < rate, qt.IsTrue)
+	c.Assert(p.pendingRevision, qt.Equals, p.revision)
+	c.Assert(p.allowance.OutageRate < rate, qt.IsTrue)
 }
 
 func ledgerOf(c *qt.C, b *bench) Ledger {
@@ -69,43 +69,43 @@
 func TestCeilingFollowsTheUseDown(t *testing.T) {
 	c := qt.New(t)
 	b, k, p := startedBench()
-	p.rate, p.weight, p.rateAt = 100_000, 1, b.steady // a busy time
-	k.round(context.Background(), true)
+	p.rate, p.rateWeight, p.rateUpdatedAt = 100_000, 1, b.steady // a busy time
+	k.syncStore(context.Background(), true)
 	busy := ledgerOf(c, b).Allowances["boatyard"].Ceiling
-	c.Assert(busy, qt.Equals, int64(100_000*aheadLeast.Seconds()))
+	c.Assert(busy, qt.Equals, int64(100_000*minCeilingHeadroom.Seconds()))
 	p.rate = 1_000
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	calm := ledgerOf(c, b).Allowances["boatyard"].Ceiling
-	c.Assert(calm, qt.Equals, int64(firstCeiling*1_000_000))
-	c.Assert(p.allowed.Ceiling, qt.Equals, calm)
+	c.Assert(calm, qt.Equals, int64(initialCeilingShare*1_000_000))
+	c.Assert(p.allowance.Ceiling, qt.Equals, calm)
 }
 
 // Guards against spending above a lower ceiling whose write is not answered.
 func TestLowerCeilingBindsFromItsSending(t *testing.T) {
 	c := qt.New(t)
 	b, k, p := startedBench()
-	p.rate, p.weight, p.rateAt = 100_000, 1, b.steady
-	k.round(context.Background(), true)
+	p.rate, p.rateWeight, p.rateUpdatedAt = 100_000, 1, b.steady
+	k.syncStore(context.Background(), true)
 	p.rate = 1_000
 	b.store.SetFate(func(store.Txn) memstore.Fate { return memstore.Late })
-	k.round(context.Background(), true)
-	c.Assert(k.read(context.Background()), qt.IsTrue)
-	c.Assert(p.allowed.Ceiling, qt.Equals, int64(firstCeiling*1_000_000))
+	k.syncStore(context.Background(), true)
+	c.Assert(k.readRecords(context.Background()), qt.IsTrue)
+	c.Assert(p.allowance.Ceiling, qt.Equals, int64(initialCeilingShare*1_000_000))
 }
 
 // Guards against outages in which less and less may be spent because requests wait.
 func TestOutageLowersNeitherPaceNorCeiling(t *testing.T) {
 	c := qt.New(t)
 	b, k, p := startedBench()
-	p.rate, p.weight, p.rateAt = 50_000, 1, b.steady
-	k.round(context.Background(), true)
-	rate, ceiling := p.allowed.OutageRate, p.allowed.Ceiling
+	p.rate, p.rateWeight, p.rateUpdatedAt = 50_000, 1, b.steady
+	k.syncStore(context.Background(), true)
+	rate, ceiling := p.allowance.OutageRate, p.allowance.Ceiling
 	b.store.SetDown(true)
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	p.rate = 0
-	k.round(context.Background(), true)
-	c.Assert(p.allowed.OutageRate, qt.Equals, rate)
-	c.Assert(p.allowed.Ceiling, qt.Equals, ceiling)
+	k.syncStore(context.Background(), true)
+	c.Assert(p.allowance.OutageRate, qt.Equals, rate)
+	c.Assert(p.allowance.Ceiling, qt.Equals, ceiling)
 }
 
 // Guards against a negative grant, with which nobody can read the record any more.
@@ -114,42 +114,42 @@
 	b, k, _ := startedBench()
 	b.home = "elsewhere"
 	k.grant("boatyard").borrowed = 5_000
-	k.round(context.Background(), true)
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	c.Assert(ledgerOf(c, b).Allowances["boatyard"].Ceiling >= 0, qt.IsTrue)
-	c.Assert(b.record(c).Entry("vm", "p1").Granted >= 0, qt.IsTrue)
+	c.Assert(b.record(c).GrantEntry("vm", "p1").Granted >= 0, qt.IsTrue)
 }
 
 // Guards against refusals while a store takes half a second for a write.
 func TestSlowStoreIsAllowedFor(t *testing.T) {
 	c := qt.New(t)
 	b, k, p := startedBench()
-	p.rate, p.weight, p.rateAt = 100_000, 1, b.steady
+	p.rate, p.rateWeight, p.rateUpdatedAt = 100_000, 1, b.steady
 	k.noteRoundTrip(500 * time.Millisecond)
-	k.round(context.Background(), true)
-	c.Assert(ledgerOf(c, b).Allowances["boatyard"].Ceiling, qt.Equals, int64(100_000*(aheadLeast.Seconds()+1)))
+	k.syncStore(context.Background(), true)
+	c.Assert(ledgerOf(c, b).Allowances["boatyard"].Ceiling, qt.Equals, int64(100_000*(minCeilingHeadroom.Seconds()+1)))
 	c.Assert(k.drawTimeout() > 500*time.Millisecond, qt.IsTrue)
 	for range 30 {
 		k.noteRoundTrip(5 * time.Millisecond)
 	}
-	p.rate, p.rateAt = 100_000, b.steady
-	k.round(context.Background(), true)
+	p.rate, p.rateUpdatedAt = 100_000, b.steady
+	k.syncStore(context.Background(), true)
 	c.Assert(k.drawTimeout(), qt.Equals, minDrawTimeout)
-	c.Assert(ledgerOf(c, b).Allowances["boatyard"].Ceiling < int64(100_000*(aheadLeast.Seconds()+0.1)), qt.IsTrue)
+	c.Assert(ledgerOf(c, b).Allowances["boatyard"].Ceiling < int64(100_000*(minCeilingHeadroom.Seconds()+0.1)), qt.IsTrue)
 }
 
 // Guards against paid writes by routers that hold nothing any more.
 func TestRouterThatUsedItsGrantWritesNoLedger(t *testing.T) {
 	c := qt.New(t)
 	b, k, p := startedBench()
-	p.spent = p.allowed.Ceiling
+	p.spent = p.allowance.Ceiling
 	b.home = "elsewhere"
-	k.round(context.Background(), true) // returns what is above the ceiling
+	k.syncStore(context.Background(), true) // returns what is above the ceiling
 	c.Assert(p.granted, qt.Equals, p.spent)
 	_, due := k.plan(true)
 	c.Assert(due, qt.IsFalse)
 	c.Assert(k.idle, qt.IsTrue)
-	p.spent -= int64(worthFreeing * 1_000_000)
+	p.spent -= int64(minFreeableShare * 1_000_000)
 	_, due = k.plan(true)
 	c.Assert(due, qt.IsFalse, qt.Commentf("so much comes and goes with each request"))
 	p.spent--
@@ -162,35 +162,35 @@
 	c := qt.New(t)
 	_, k, _ := startedBench()
 	pauses := func(idle bool) []time.Duration {
-		k.away, k.idle = false, idle
-		list := []time.Duration{k.pause()}
-		k.away = true
+		k.storeDown, k.idle = false, idle
+		list := []time.Duration{k.nextPause()}
+		k.storeDown = true
 		for range 4 {
-			list = append(list, k.pause())
+			list = append(list, k.nextPause())
 		}
 		return list
 	}
-	c.Assert(pauses(false), qt.DeepEquals, []time.Duration{roundPause, awayPause, awayMost, awayMost, awayMost})
-	c.Assert(pauses(true), qt.DeepEquals, []time.Duration{roundPause, awayPause, idlePause, idlePause, idlePause})
+	c.Assert(pauses(false), qt.DeepEquals, []time.Duration{syncPause, minOutagePause, maxOutagePause, maxOutagePause, maxOutagePause})
+	c.Assert(pauses(true), qt.DeepEquals, []time.Duration{syncPause, minOutagePause, idleOutagePause, idleOutagePause, idleOutagePause})
 }
 
 // Guards against higher ceilings after an outage because a write ran out in it.
 func TestCallThatRanOutIsNoSlowWrite(t *testing.T) {
 	c := qt.New(t)
 	b, k, p := startedBench()
-	p.rate, p.weight, p.rateAt = 100_000, 1, b.steady
-	k.round(context.Background(), true)
-	usual := p.allowed.Ceiling
+	p.rate, p.rateWeight, p.rateUpdatedAt = 100_000, 1, b.steady
+	k.syncStore(context.Background(), true)
+	usual := p.allowance.Ceiling
 	b.store.SetFate(func(store.Txn) memstore.Fate {
 		b.steady += callTimeout
 		return memstore.Lost
 	})
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	b.store.SetFate(func(store.Txn) memstore.Fate { return memstore.Answered })
-	p.rateAt = b.steady // no time for the rate to fall
-	k.round(context.Background(), true)
-	c.Assert(k.isAway(), qt.IsFalse)
-	c.Assert(p.allowed.Ceiling <= usual, qt.IsTrue, qt.Commentf("%d, usually %d", p.allowed.Ceiling, usual))
+	p.rateUpdatedAt = b.steady // no time for the rate to fall
+	k.syncStore(context.Background(), true)
+	c.Assert(k.isStoreDown(), qt.IsFalse)
+	c.Assert(p.allowance.Ceiling <= usual, qt.IsTrue, qt.Commentf("%d, usually %d", p.allowance.Ceiling, usual))
 }
 
 // Guards against homes that die one after the other and take the end of a budget.
@@ -199,8 +199,8 @@
 	b := newBench(1_000_000)
 	b.store.Put("budget/account/boatyard", newRecord().WithEntry("other-vm", "p0", GrantEntry{Seq: 1, Granted: 900_000}, nil).Encode())
 	k := b.keeper("p1", noPeers{})
-	k.round(context.Background(), true)
-	k.round(context.Background(), true)
-	ceiling := k.grant("boatyard").allowed.Ceiling
-	c.Assert(ceiling > 0 && ceiling <= int64(firstCeiling*100_000), qt.IsTrue, qt.Commentf("%d", ceiling))
+	k.syncStore(context.Background(), true)
+	k.syncStore(context.Background(), true)
+	ceiling := k.grant("boatyard").allowance.Ceiling
+	c.Assert(ceiling > 0 && ceiling <= int64(initialCeilingShare*100_000), qt.IsTrue, qt.Commentf("%d", ceiling))
 }
--- a/internal/escrow/draw.go
+++ b/internal/escrow/draw.go
@@ -17,17 +17,17 @@
 	grants  []*grant
 	figures []GrantEntry
 	records []Record
-	// pendingAt is what each grant had before this transaction.
-	pendingAt []int64
-	// ends are of this VM's dead incarnations that the transaction closes.
-	ends    []end
-	ledger  Ledger
-	contact bool // the contact key is written
-	txn     store.Txn
+	// pendingRevision is what each grant had before this transaction.
+	pendingRevision []int64
+	// closedGrants are of this VM's dead incarnations that the transaction closes.
+	closedGrants []closedGrant
+	ledger       Ledger
+	contact      bool // the contact key is written
+	txn          store.Txn
 }
 
 // plan works out the write that is due now, if any.
-func (m *GrantManager) plan(refresh bool) (draw, bool) {
+func (m *GrantManager) plan(refreshLedger bool) (draw, bool) {
 	budgets := m.o.Budgets()
 	now := m.o.Clock()
 	m.mu.Lock()
@@ -41,17 +41,17 @@
 	}
 	sort.Strings(accounts)
 	lastContact := m.lastContact
-	if !m.away {
+	if !m.storeDown {
 		lastContact = now
 	}
 	d := draw{ledger: Ledger{Format: ledgerFormat, Incarnation: m.o.Incarnation, Address: m.o.Address, Contact: lastContact,
 		Allowances: make(map[string]Allowance, len(accounts))}}
-	holds := m.holds(budgets)
-	m.idle = !holds
-	due := refresh && (m.away || holds)
-	topUp := refillBelow
-	if refresh {
-		topUp = topUpBelow
+	holdsTokens := m.holdsTokens(budgets)
+	m.idle = !holdsTokens
+	due := refreshLedger && (m.storeDown || holdsTokens)
+	topUp := refillThreshold
+	if refreshLedger {
+		topUp = topUpThreshold
 	}
 	for _, account := range accounts {
 		p := m.grant(account)
@@ -62,22 +62,22 @@
 		// moves the revision, after which the first one can't land any more.
 		// What a predecessor on this VM left is freed at once, whoever is home now.
 		wanted = wanted || p.record.HasOtherEntries(m.o.VM, m.o.Incarnation)
-		wanted = wanted || refresh && !m.away && p.isUntold(p.record.Entry(m.o.VM, m.o.Incarnation), budgets[account])
-		if (wanted || p.pendingAt != noWrite) && p.decided && len(d.grants) < txnAccounts {
-			m.add(&d, p, granted)
+		wanted = wanted || refreshLedger && !m.storeDown && p.needsReport(p.record.GrantEntry(m.o.VM, m.o.Incarnation), budgets[account])
+		if (wanted || p.pendingRevision != noPendingWrite) && p.recordKnown && len(d.grants) < maxTxnAccounts {
+			m.addGrant(&d, p, granted)
 			due = true
 		} else {
 			granted = p.granted
 		}
-		ceiling, short := p.raised(granted, budgets[account], as, m.roundTrip)
-		next := Allowance{Ceiling: ceiling, OutageRate: p.newOutageRate(budgets[account])}
+		ceiling, short := p.nextCeiling(granted, budgets[account], as, m.roundTrip)
+		next := Allowance{Ceiling: ceiling, OutageRate: p.nextOutageRate(budgets[account])}
 		if as == home {
-			next.OutageReserve = int64(reserveShare * float64(p.left(budgets[account])))
+			next.OutageReserve = int64(outageReserveShare * float64(p.remaining(budgets[account])))
 		}
-		if m.away {
+		if m.storeDown {
 			// What waits or is refused in an outage lowers the rate, and with it what
 			// may be spent; nothing is gained by stating less.
-			next = Allowance{max(next.Ceiling, p.allowed.Ceiling), max(next.OutageRate, p.allowed.OutageRate), p.allowed.OutageReserve}
+			next = Allowance{max(next.Ceiling, p.allowance.Ceiling), max(next.OutageRate, p.allowance.OutageRate), p.allowance.OutageReserve}
 		}
 		d.ledger.Allowances[account] = next
 		due = due || short
@@ -86,11 +86,11 @@
 		return draw{}, false
 	}
 	m.lastContact = lastContact
-	m.lower(d.ledger)
+	m.lowerAllowances(d.ledger)
 	key := m.o.Prefix + ledgerKeyPrefix + m.o.VM
 	d.txn.Expect = append(d.txn.Expect, store.Expect{Key: key, Revision: store.Revision(m.ledgerRevision)})
 	d.txn.Puts = append(d.txn.Puts, store.Put{Key: key, Value: d.ledger.Encode()})
-	if m.contactLease != 0 && !m.contactPut {
+	if m.contactLease != 0 && !m.contactWritten {
 		contact := store.Put{Key: m.o.Prefix + contactKeyPrefix + m.o.VM, Value: []byte(m.o.Incarnation), Lease: m.contactLease}
 		d.txn.Puts = append(d.txn.Puts, contact)
 		d.contact = true
@@ -98,50 +98,50 @@
 	return d, true
 }
 
-// lower holds this router to the allowances of a ledger that is about to be written, where
-// they are lower than the present ones. The ledger may land whatever becomes of its
+// lowerAllowances holds this router to the allowances of a ledger that is about to be written, where
+// they are lowerAllowances than the present ones. The ledger may land whatever becomes of its
 // answer; higher allowances count only once they are stored.
-func (m *GrantManager) lower(ledger Ledger) {
+func (m *GrantManager) lowerAllowances(ledger Ledger) {
 	for account, next := range ledger.Allowances {
 		p := m.grant(account)
-		p.allowed = p.allowed.elementwiseMin(next)
+		p.allowance = p.allowance.elementwiseMin(next)
 	}
 }
 
-// worthFreeing is the part of a budget that a successor should be able to free. A router
+// minFreeableShare is the part of a budget that a successor should be able to free. A router
 // that is no home holds less than that for the moment between the end of a request and the
 // next sweep, on and on; a write for it every time would cost more calls than all homes'.
-const worthFreeing = 0.005
+const minFreeableShare = 0.005
 
-// holds says whether this router was granted anything that it has not used, or holds for
+// holdsTokens says whether this router was granted anything that it has not used, or holdsTokens for
 // others. One that only borrows, or has used up what it once drew, needs no ledger: its
 // successor has nothing to free.
-func (m *GrantManager) holds(budgets map[string]int64) bool {
+func (m *GrantManager) holdsTokens(budgets map[string]int64) bool {
 	for account, p := range m.grants {
 		unused := float64(p.granted - p.used())
-		if m.role(p) != borrower || p.pendingAt != noWrite || p.granted > 0 && unused > worthFreeing*float64(budgets[account]) {
+		if m.role(p) != borrower || p.pendingRevision != noPendingWrite || p.granted > 0 && unused > minFreeableShare*float64(budgets[account]) {
 			return true
 		}
 	}
 	return false
 }
 
-// add puts one account's new figure into a transaction. A smaller grant counts
+// addGrant puts one account's new figure into a transaction. A smaller grant counts
 // from now on, before it is stored; a larger one only once it is stored.
-func (m *GrantManager) add(d *draw, p *grant, granted int64) {
+func (m *GrantManager) addGrant(d *draw, p *grant, granted int64) {
 	p.seq++
 	figure := GrantEntry{Seq: p.seq, Granted: granted, Spent: p.netSpent()}
-	next := p.record.WithEntry(m.o.VM, m.o.Incarnation, figure, m.mostSpent(d, p))
+	next := p.record.WithEntry(m.o.VM, m.o.Incarnation, figure, m.maxSpent(d, p))
 	p.granted = min(p.granted, granted)
-	d.pendingAt = append(d.pendingAt, p.pendingAt)
-	p.pendingAt = p.revision
+	d.pendingRevision = append(d.pendingRevision, p.pendingRevision)
+	p.pendingRevision = p.revision
 	d.grants = append(d.grants, p)
 	d.figures = append(d.figures, figure)
-	d.put(m.accountKey(p), p.revision, next)
+	d.putRecord(m.accountKey(p), p.revision, next)
 }
 
-// put adds the write of a record under the condition that it is at a revision.
-func (d *draw) put(key string, revision int64, next Record) {
+// putRecord adds the write of a record under the condition that it is at a revision.
+func (d *draw) putRecord(key string, revision int64, next Record) {
 	d.records = append(d.records, next)
 	d.txn.Expect = append(d.txn.Expect, store.Expect{Key: key, Revision: store.Revision(revision)})
 	d.txn.Puts = append(d.txn.Puts, store.Put{Key: key, Value: next.Encode()})
@@ -151,30 +151,30 @@
 	return m.o.Prefix + AccountKeyPrefix + p.account
 }
 
-// end is how one account's grant of a dead incarnation was closed.
-type end struct {
+// closedGrant is how one account's grant of a dead incarnation was closed.
+type closedGrant struct {
 	account, incarnation string
 	figure               GrantEntry
-	judged               SpendingBound
+	bound                SpendingBound
 }
 
-// mostSpent judges this VM's dead incarnations by the ledger that the last left, and notes
+// maxSpent judges this VM's dead incarnations by the ledger that the last left, and notes
 // in the draw what came of it.
-func (m *GrantManager) mostSpent(d *draw, p *grant) MaxSpentFunc {
+func (m *GrantManager) maxSpent(d *draw, p *grant) MaxSpentFunc {
 	return func(incarnation string, figure GrantEntry) int64 {
-		judged := m.predecessor.BoundSpending(p.account, incarnation, m.o.Address, figure.Granted, m.born, m.leasedIncarnation == incarnation)
-		d.ends = append(d.ends, end{p.account, incarnation, figure, judged})
+		judged := m.predecessorLedger.BoundSpending(p.account, incarnation, m.o.Address, figure.Granted, m.startClock, m.leaseHolder == incarnation)
+		d.closedGrants = append(d.closedGrants, closedGrant{p.account, incarnation, figure, judged})
 		return judged.Max
 	}
 }
 
-// logEnds tells what became of the grants of dead incarnations, once that is stored.
-func (m *GrantManager) logEnds(d draw) {
-	for _, e := range d.ends {
+// logClosedGrants tells what became of the grants of dead incarnations, once that is stored.
+func (m *GrantManager) logClosedGrants(d draw) {
+	for _, e := range d.closedGrants {
 		m.o.Log.Emit(event.GrantClosed, slog.String(event.KeyBudget, e.account), slog.String("holder", e.incarnation),
-			slog.Int64("granted", e.figure.Granted), slog.Int64("spent", e.figure.Spent), slog.Int64("judged", e.judged.Max),
-			slog.Int64("ceiling", e.judged.Ceiling), slog.Int64("age_ms", e.judged.Age.Milliseconds()),
-			slog.String("by", string(e.judged.Basis)))
+			slog.Int64("granted", e.figure.Granted), slog.Int64("spent", e.figure.Spent), slog.Int64("judged", e.bound.Max),
+			slog.Int64("ceiling", e.bound.Ceiling), slog.Int64("age_ms", e.bound.Age.Milliseconds()),
+			slog.String("by", string(e.bound.Basis)))
 	}
 }
 
@@ -184,7 +184,7 @@
 	defer cancel()
 	sent := m.o.Clock().Steady
 	result, err := m.o.Store.Commit(ctx, d.txn)
-	m.contact(err)
+	m.noteContact(err)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err == nil || errors.Is(err, store.ErrConflict) {
@@ -192,22 +192,22 @@
 	}
 	switch {
 	case err == nil:
-		m.landed(d, result)
+		m.applyCommit(d, result)
 	case errors.Is(err, store.ErrConflict):
-		m.conflicted(d, result)
+		m.applyConflict(d, result)
 	case errors.Is(err, store.ErrUnavailable), errors.Is(err, store.ErrLeaseGone):
 		// Nothing was done: the records are still as known.
 		if errors.Is(err, store.ErrLeaseGone) {
-			m.contactLease, m.contactPut = 0, false
+			m.contactLease, m.contactWritten = 0, false
 		}
 		for i, p := range d.grants {
-			p.pendingAt = d.pendingAt[i]
-			p.learned(p.record, p.revision, p.record.Entry(m.o.VM, m.o.Incarnation))
+			p.pendingRevision = d.pendingRevision[i]
+			p.applyRecord(p.record, p.revision, p.record.GrantEntry(m.o.VM, m.o.Incarnation))
 		}
 	default:
 		m.ledgerKnown = false
 		for _, p := range d.grants {
-			p.decided = false
+			p.recordKnown = false
 		}
 		m.o.Log.Emit(event.DrawUnknown, slog.Int("accounts", len(d.grants)), slog.Any(event.KeyCause, err))
 	}
@@ -223,54 +223,54 @@
 	m.roundTrip = max(took, time.Duration(fall*float64(m.roundTrip)))
 }
 
-func (m *GrantManager) landed(d draw, result store.Result) {
+func (m *GrantManager) applyCommit(d draw, result store.Result) {
 	m.ledgerRevision, m.conflicts = int64(result.Revision), 0
-	m.contactPut = m.contactPut || d.contact
-	m.logEnds(d)
-	for account, allowed := range d.ledger.Allowances {
-		m.grant(account).allowed = allowed
+	m.contactWritten = m.contactWritten || d.contact
+	m.logClosedGrants(d)
+	for account, allowance := range d.ledger.Allowances {
+		m.grant(account).allowance = allowance
 	}
 	for i, p := range d.grants {
-		p.learned(d.records[i], int64(result.Revision), d.figures[i])
+		p.applyRecord(d.records[i], int64(result.Revision), d.figures[i])
 		m.o.Log.Emit(event.DrawLanded, slog.String(event.KeyBudget, p.account), slog.Int64("granted", p.granted),
 			slog.Int64("spent", p.spent), slog.Int64("reserved", p.reserved), slog.Int64("revision", p.revision))
 	}
 }
 
-// conflicted takes the records as they are and tries again in the next round.
-func (m *GrantManager) conflicted(d draw, result store.Result) {
+// applyConflict takes the records as they are and tries again in the next round.
+func (m *GrantManager) applyConflict(d draw, result store.Result) {
 	m.conflicts++
 	current := make(map[string]store.Item, len(result.Current))
 	for _, item := range result.Current {
 		current[item.Key] = item
 	}
 	if item, found := current[m.o.Prefix+ledgerKeyPrefix+m.o.VM]; found {
-		m.learnLedger(item)
+		m.applyLedgerItem(item)
 	}
 	for i, p := range d.grants {
-		p.pendingAt = d.pendingAt[i] // this transaction is answered: it never lands
+		p.pendingRevision = d.pendingRevision[i] // this transaction is answered: it never lands
 		item, found := current[m.accountKey(p)]
 		switch {
 		case found:
-			m.learn(p, item)
+			m.applyRecordItem(p, item)
 		case p.revision == 0:
-			p.learned(p.record, 0, GrantEntry{})
+			p.applyRecord(p.record, 0, GrantEntry{})
 		default:
-			p.decided = false
+			p.recordKnown = false
 		}
 	}
 	m.wakeUp()
 }
 
-// contact notes whether the store answered.
-func (m *GrantManager) contact(err error) {
+// noteContact notes whether the store answered.
+func (m *GrantManager) noteContact(err error) {
 	reached := err == nil || errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrLeaseGone)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if reached == !m.away {
+	if reached == !m.storeDown {
 		return
 	}
-	m.away = !reached
+	m.storeDown = !reached
 	if reached {
 		m.o.Log.Emit(event.StoreReachable, slog.String("follows", "budgets"))
 		return
--- a/internal/escrow/gather.go
+++ b/internal/escrow/gather.go
@@ -49,7 +49,7 @@
 
 // spentElsewhere is what was surely spent by all but this process. The keeper is locked.
 func (m *GrantManager) spentElsewhere(p *grant) int64 {
-	sum := p.record.ClosedSpent + p.record.SpentBy(m.o.VM) - p.record.Entry(m.o.VM, m.o.Incarnation).Spent
+	sum := p.record.ClosedSpent + p.record.SpentBy(m.o.VM) - p.record.GrantEntry(m.o.VM, m.o.Incarnation).Spent
 	for vm := range p.record.Holders {
 		if vm != m.o.VM {
 			sum += m.spentByVM(p, vm)
@@ -72,7 +72,7 @@
 	if p.gathering {
 		return true
 	}
-	if p.gathered > 0 && m.o.Clock().Steady-p.gathered < emptyGatherBackoff {
+	if p.shortGatherAt > 0 && m.o.Clock().Steady-p.shortGatherAt < emptyGatherBackoff {
 		return false
 	}
 	vm, address := m.largestOtherHolder(p)
@@ -81,7 +81,7 @@
 	}
 	p.gathering = true
 	tokens := max(h.missing, int64(p.rate*gatherHorizon.Seconds()))
-	m.gatherings = append(m.gatherings, gathering{grant: p, vm: vm, address: address, tokens: tokens})
+	m.pendingGatherings = append(m.pendingGatherings, gathering{grant: p, vm: vm, address: address, tokens: tokens})
 	select {
 	case m.gatherDue <- struct{}{}:
 	default: // one is due already
@@ -114,8 +114,8 @@
 func (m *GrantManager) takeGatherings() []gathering {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	requests := m.gatherings
-	m.gatherings = nil
+	requests := m.pendingGatherings
+	m.pendingGatherings = nil
 	return requests
 }
 
@@ -125,12 +125,12 @@
 	most, now := int64(0), m.o.Clock().Steady
 	for name := range p.record.Holders {
 		at, unreached := m.unreached[name]
-		if name == m.o.VM || m.addresses[name] == "" || unreached && now-at < unreachableBackoff {
+		if name == m.o.VM || m.vmAddresses[name] == "" || unreached && now-at < unreachableBackoff {
 			continue
 		}
 		left := p.record.GrantedTo(name) - m.spentByVM(p, name)
 		if left > most {
-			most, vm, address = left, name, m.addresses[name]
+			most, vm, address = left, name, m.vmAddresses[name]
 		}
 	}
 	return vm, address
@@ -152,7 +152,7 @@
 	} else {
 		p.reports[g.vm] = usageReport{spent: loan.Spent, at: now}
 		if loan.Tokens < g.tokens {
-			p.gathered = now
+			p.shortGatherAt = now
 		}
 	}
 	if loan.Tokens > 0 || p.gatherLog.due(now) {
--- a/internal/escrow/gather_test.go
+++ b/internal/escrow/gather_test.go
@@ -21,7 +21,7 @@
 func TestTheLargestHolderIsAsked(t *testing.T) {
 	b := newBench(1_000_000)
 	k := b.keeper("p1", noPeers{})
-	k.addresses = map[string]string{k.o.VM: "own", "vm-2": "two", "vm-3": "three"}
+	k.vmAddresses = map[string]string{k.o.VM: "own", "vm-2": "two", "vm-3": "three"}
 	r := newRecord()
 	r.Holders[k.o.VM] = map[string]GrantEntry{"p1": {Granted: 900_000}}
 	r.Holders["vm-2"] = map[string]GrantEntry{"p2": {Granted: 50_000, Spent: 45_000}}
@@ -61,7 +61,7 @@
 	other := Ledger{Format: ledgerFormat, Incarnation: "p2", Address: "two", Allowances: map[string]Allowance{}}
 	b.store.Put("budget/router/vm-2", other.Encode())
 	k := b.keeper("p1", usedUpPeers{spent: 0})
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 
 	h := k.newPendingReservation("boatyard", 8_000, true, "")
 	c.Assert(k.shortageError(h), qt.Equals, ErrContended)
--- a/internal/escrow/holders.go
+++ b/internal/escrow/holders.go
@@ -105,7 +105,7 @@
 	switch {
 	case m.o.Home(p.account) == "":
 		return home
-	case p.askedAt > 0 && m.o.Clock().Steady-p.askedAt < standbyTimeout:
+	case p.lastAskedAt > 0 && m.o.Clock().Steady-p.lastAskedAt < standbyTimeout:
 		return standby
 	}
 	return borrower
@@ -155,7 +155,7 @@
 func (m *GrantManager) holdersToAsk(account string) (addresses []string, unavailableHome string) {
 	for i, address := range m.o.Holders(account) {
 		switch {
-		case address == "" && !m.isAway():
+		case address == "" && !m.isStoreDown():
 			return addresses, unavailableHome
 		case address == "":
 		case !m.isUnavailable(address):
@@ -170,14 +170,14 @@
 func (m *GrantManager) isUnavailable(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	at, found := m.holdersAway[address]
+	at, found := m.holderDownAt[address]
 	return found && m.o.Clock().Steady-at < holderBackoff
 }
 
 func (m *GrantManager) markUnavailable(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.holdersAway[address] = m.o.Clock().Steady
+	m.holderDownAt[address] = m.o.Clock().Steady
 }
 
 // lastResortInterval is the mean time between two draws of a router that ranks nowhere, when none of
@@ -192,17 +192,17 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.o.Clock().Steady
-	if m.away {
+	if m.storeDown {
 		return false
 	}
 	if isHolder {
-		p.askedAt = now // it holds from now on for those who rank behind
+		p.lastAskedAt = now // it holds from now on for those who rank behind
 		return true
 	}
-	if now < p.nextDraw {
+	if now < p.nextLastResortDraw {
 		return false
 	}
-	p.nextDraw = now + lastResortInterval/2 + rand.N(lastResortInterval)
+	p.nextLastResortDraw = now + lastResortInterval/2 + rand.N(lastResortInterval)
 	return true
 }
 
@@ -218,7 +218,7 @@
 	prepaid := m.o.Budgets()[p.account]
 	// What others drew themselves counts as far as they or the record tell.
 	used := p.used() - (h.tokens - h.missing) + m.spentElsewhere(p)
-	left := prepaid - used + p.lately.sum(m.o.Clock().Steady)
+	left := prepaid - used + p.recentlyLent.sum(m.o.Clock().Steady)
 	inDoubt := p.record.Closed - p.record.ClosedSpent
 	err := ErrContended
 	switch {
@@ -234,13 +234,13 @@
 // logShortage tells of a budget that can't give what is asked for, once a second. The keeper
 // is locked.
 func (m *GrantManager) logShortage(p *grant, prepaid, used, left int64, cause error) {
-	if !p.lackLog.due(m.o.Clock().Steady) {
+	if !p.shortageLog.due(m.o.Clock().Steady) {
 		return
 	}
 	m.o.Log.Emit(event.BudgetShort, slog.String(event.KeyBudget, p.account), slog.Int64("prepaid", prepaid),
 		slog.Int64("given", p.record.TotalGranted()), slog.Int64("closed", p.record.Closed),
 		slog.Int64("closed_spent", p.record.ClosedSpent), slog.Int64("used", used), slog.Int64("left", left),
-		slog.Int64("revision", p.revision), slog.Any(event.KeyCause, cause), slog.Int("unlogged", p.lackLog.take()))
+		slog.Int64("revision", p.revision), slog.Any(event.KeyCause, cause), slog.Int("unlogged", p.shortageLog.take()))
 }
 
 // recentLoans sums up the tokens lent in the present recentLoanWindow and the one before it.
@@ -285,17 +285,17 @@
 	defer m.mu.Unlock()
 	record := h.grant.record
 	prepaid := m.o.Budgets()[h.grant.account]
-	if received > 0 || h.grant.lackLog.due(m.o.Clock().Steady) {
+	if received > 0 || h.grant.shortageLog.due(m.o.Clock().Steady) {
 		m.o.Log.Emit(event.TokensBorrowed, slog.String(event.KeyBudget, h.grant.account), slog.Int64("missing", missing),
 			slog.Int64(event.KeyTokens, received), slog.Int64("prepaid", prepaid), slog.Int64("given", record.TotalGranted()),
 			slog.Int64("closed", record.Closed), slog.Int64("used", used), slog.Any(event.KeyCause, ErrUnreachable),
-			slog.Int("unlogged", h.grant.lackLog.take()))
+			slog.Int("unlogged", h.grant.shortageLog.take()))
 	}
 	if h.missing == 0 {
 		return nil
 	}
 	if received == 0 {
-		h.grant.fruitless = m.o.Clock().Steady
+		h.grant.emptyBorrowAt = m.o.Clock().Steady
 	}
 	// All that is surely used, with reservations at their most. What nobody could
 	// tell of may still come back, so that is no reason to say exhausted.
@@ -310,5 +310,5 @@
 func (m *GrantManager) mayBorrow(p *grant) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return p.fruitless == 0 || m.o.Clock().Steady-p.fruitless >= emptyBorrowBackoff
+	return p.emptyBorrowAt == 0 || m.o.Clock().Steady-p.emptyBorrowAt >= emptyBorrowBackoff
 }
--- a/internal/escrow/holders_test.go
+++ b/internal/escrow/holders_test.go
@@ -247,8 +247,8 @@
 	b := newBench(1_000_000)
 	b.steady = time.Minute
 	k := b.keeper("p1", noPeers{})
-	k.round(context.Background(), true)
-	k.readAt = b.steady
+	k.syncStore(context.Background(), true)
+	k.recordsReadAt = b.steady
 	k.o.Budgets = func() map[string]int64 { return nil }
 	c.Assert(k.Lend("harbour", 1_000, "waiter").Short, qt.Equals, StoreUnreachable)
 }
--- a/internal/escrow/keeper.go
+++ b/internal/escrow/keeper.go
@@ -77,45 +77,45 @@
 type GrantManager struct {
 	o Options
 
-	mu      sync.Mutex
-	grants  map[string]*grant
-	changed chan struct{} // closed and replaced after each round with the store
-	wake    chan struct{}
-	away    bool  // the last call to the store failed
-	idle    bool  // nothing is held: the ledger needs no writes
-	tries   int   // rounds since the store was lost
-	leaving bool  // a planned stop began
-	stopped bool  // the grants are being returned
-	waiters int64 // names given so far
+	mu           sync.Mutex
+	grants       map[string]*grant
+	changed      chan struct{} // closed and replaced after each round with the store
+	wake         chan struct{}
+	storeDown    bool  // the last call to the store failed
+	idle         bool  // nothing is held: the ledger needs no writes
+	downRounds   int   // rounds since the store was lost
+	leaving      bool  // a planned stop began
+	stopped      bool  // the grants are being returned
+	lastWaiterID int64 // names given so far
 	// roundTrip is what a write takes, by the slowest of late: it rises at once and
 	// falls slowly.
 	roundTrip time.Duration
-	// holdersAway is when holders, by address, last had no contact with the store.
-	holdersAway map[string]time.Duration
-	// addresses are those of the VMs that have a ledger, as of the last read.
-	addresses map[string]string
+	// holderDownAt is when holders, by address, last had no contact with the store.
+	holderDownAt map[string]time.Duration
+	// vmAddresses are those of the VMs that have a ledger, as of the last read.
+	vmAddresses map[string]string
 	// unreached is when a VM that was asked for what it holds last gave no answer.
 	unreached map[string]time.Duration
-	// gatherings are ordered and not begun.
-	gatherings []gathering
-	gatherDue  chan struct{}
+	// pendingGatherings are ordered and not begun.
+	pendingGatherings []gathering
+	gatherDue         chan struct{}
 	// conflicts counts writes in a row that lost the race for a record.
 	conflicts int
 	// isolated counts reservations in a row that found nobody to give tokens.
 	isolated int
 
-	// predecessor is the ledger that an earlier process on this VM left, and born a
+	// predecessorLedger is the ledger that an earlier process on this VM left, and born a
 	// moment at which that process was surely dead.
-	predecessor Ledger
-	born        ClockReading
-	// leasedIncarnation is the process whose contact lease had not run out at the first
+	predecessorLedger Ledger
+	startClock        ClockReading
+	// leaseHolder is the process whose contact lease had not run out at the first
 	// read.
-	leasedIncarnation string
-	contactLease      store.LeaseID // 0: none yet
-	contactPut        bool          // the contact key is bound to it
-	ledgerRevision    int64
-	ledgerKnown       bool
-	readAt            time.Duration // of the last read of all records
+	leaseHolder    string
+	contactLease   store.LeaseID // 0: none yet
+	contactWritten bool          // the contact key is bound to it
+	ledgerRevision int64
+	ledgerKnown    bool
+	recordsReadAt  time.Duration // of the last read of all records
 	// lastContact is when the last write was sent that was sent in contact; it may have
 	// landed whatever became of its answer. Out of contact all spending beyond the
 	// ceilings is counted from there, and so are all ledgers written meanwhile.
@@ -125,15 +125,15 @@
 // New makes a keeper without grants. Run fetches the first ones.
 func New(o Options) *GrantManager {
 	return &GrantManager{
-		o: o, born: o.Clock(), grants: make(map[string]*grant), holdersAway: make(map[string]time.Duration),
-		addresses: make(map[string]string), unreached: make(map[string]time.Duration),
+		o: o, startClock: o.Clock(), grants: make(map[string]*grant), holderDownAt: make(map[string]time.Duration),
+		vmAddresses: make(map[string]string), unreached: make(map[string]time.Duration),
 		gatherDue: make(chan struct{}, 1), changed: make(chan struct{}), wake: make(chan struct{}, 1),
 	}
 }
 
-// age is how old the last contact is; zero in contact, where the ceilings hold.
-func (m *GrantManager) age() time.Duration {
-	if !m.away {
+// contactAge is how old the last contact is; zero in contact, where the ceilings hold.
+func (m *GrantManager) contactAge() time.Duration {
+	if !m.storeDown {
 		return 0
 	}
 	return m.o.Clock().Steady - m.lastContact.Steady
@@ -179,30 +179,30 @@
 
 // Pauses between the talks with the store.
 const (
-	// ledgerEvery bounds the age of the last contact: what a router's successor can't free
+	// ledgerInterval bounds the age of the last contact: what a router's successor can't free
 	// grows with it.
-	ledgerEvery = 700 * time.Millisecond
-	// readEvery bounds the reads of the records while a budget is short.
-	readEvery = 1500 * time.Millisecond
-	// roundPause keeps a router with many small draws from calling without pause.
-	roundPause = 40 * time.Millisecond
-	// raceLost spreads the writers of a record that race for it: each race lost doubles the
+	ledgerInterval = 700 * time.Millisecond
+	// readInterval bounds the reads of the records while a budget is short.
+	readInterval = 1500 * time.Millisecond
+	// syncPause keeps a router with many small draws from calling without pause.
+	syncPause = 40 * time.Millisecond
+	// conflictBackoff spreads the writers of a record that race for it: each race lost doubles the
 	// random part of the pause, up to racesMost times.
-	raceLost  = 10 * time.Millisecond
-	racesMost = 5
-	// awayPause is the first pause while the store is away; it doubles up to awayMost, since
+	conflictBackoff      = 10 * time.Millisecond
+	maxConflictDoublings = 5
+	// minOutagePause is the first pause while the store is away; it doubles up to awayMost, since
 	// a store that refuses is paid for each call, and a return is noticed soon enough.
-	awayPause = 250 * time.Millisecond
-	awayMost  = 500 * time.Millisecond
-	// idlePause is the pause of a router that holds nothing: it lends nothing and needs the
+	minOutagePause = 250 * time.Millisecond
+	maxOutagePause = 500 * time.Millisecond
+	// idleOutagePause is the pause of a router that holds nothing: it lends nothing and needs the
 	// store for draws of its own only, which its accounts' homes make for it.
-	idlePause = time.Second
+	idleOutagePause = time.Second
 	// callTimeout is far above the store's usual few milliseconds, and short
 	// beside the time a caller waits.
 	callTimeout = 600 * time.Millisecond
-	// txnAccounts keeps a transaction, two rows an account and two for the ledger,
+	// maxTxnAccounts keeps a transaction, two rows an account and two for the ledger,
 	// within the store's 32.
-	txnAccounts = 14
+	maxTxnAccounts = 14
 )
 
 // Run talks with the store until ctx ends.
@@ -211,46 +211,46 @@
 	defer tasks.Wait()
 	tasks.Go(func() { m.gatherLoop(ctx) })
 	tasks.Go(func() { m.sweepLoop(ctx) }) // a home that doesn't answer must not hold up the ledger
-	ticker := time.NewTicker(ledgerEvery)
+	ticker := time.NewTicker(ledgerInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			m.round(ctx, true)
+			m.syncStore(ctx, true)
 		case <-m.wake:
-			m.round(ctx, m.isAway())
+			m.syncStore(ctx, m.isStoreDown())
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(m.pause()):
+		case <-time.After(m.nextPause()):
 		}
 	}
 }
 
-func (m *GrantManager) isAway() bool {
+func (m *GrantManager) isStoreDown() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.away
+	return m.storeDown
 }
 
-// pause is the wait until the next round may begin. While the store is away the
+// nextPause is the wait until the next round may begin. While the store is away the
 // next round is due by itself, so that its return is noticed soon.
-func (m *GrantManager) pause() time.Duration {
+func (m *GrantManager) nextPause() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.away {
-		m.tries = 0
-		return roundPause + m.conflictPause()
+	if !m.storeDown {
+		m.downRounds = 0
+		return syncPause + m.conflictPause()
 	}
 	m.wakeUp()
-	m.tries++
-	if m.idle && m.tries > 1 {
-		return idlePause
+	m.downRounds++
+	if m.idle && m.downRounds > 1 {
+		return idleOutagePause
 	}
-	return min(awayPause<<min(m.tries-1, 4), awayMost)
+	return min(minOutagePause<<min(m.downRounds-1, 4), maxOutagePause)
 }
 
 // conflictPause is the random part of a pause after lost races for a record; zero without.
@@ -258,23 +258,23 @@
 	if m.conflicts == 0 {
 		return 0
 	}
-	return rand.N(raceLost << min(m.conflicts, racesMost))
+	return rand.N(conflictBackoff << min(m.conflicts, maxConflictDoublings))
 }
 
-// round brings records, grants and reservations in line once. refresh says that the
+// syncStore brings records, grants and reservations in line once. refresh says that the
 // ledger is to be written in any case.
-func (m *GrantManager) round(ctx context.Context, refresh bool) {
+func (m *GrantManager) syncStore(ctx context.Context, refreshLedger bool) {
 	defer m.broadcast()
-	if (m.mustRead() || m.scarce()) && !m.read(ctx) {
+	if (m.needsRead() || m.isShort()) && !m.readRecords(ctx) {
 		return
 	}
-	if d, due := m.plan(refresh); due && m.commit(ctx, d) {
-		m.keepContact(ctx)
+	if d, due := m.plan(refreshLedger); due && m.commit(ctx, d) {
+		m.renewContactLease(ctx)
 	}
 }
 
-// keepContact renews the contact lease, or gets one, right after a write landed.
-func (m *GrantManager) keepContact(ctx context.Context) {
+// renewContactLease renews the contact lease, or gets one, right after a write landed.
+func (m *GrantManager) renewContactLease(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if m.contactLease != 0 {
@@ -282,9 +282,9 @@
 		if !errors.Is(err, store.ErrLeaseGone) {
 			return // another failure is met by the next write
 		}
-		m.contactLease, m.contactPut = 0, false
+		m.contactLease, m.contactWritten = 0, false
 	}
-	lease, err := m.o.Store.Grant(ctx, contactLeaseTTL)
+	lease, err := m.o.Store.Grant(ctx, contactLease)
 	if err != nil {
 		m.o.Log.Emit(event.LeaseLost, slog.String("lease_of", "contact"), slog.Any(event.KeyCause, err))
 		return
@@ -299,9 +299,9 @@
 	m.changed = make(chan struct{})
 }
 
-// mustRead says whether a record is not known as it is: never read, or a write
+// needsRead says whether a record is not known as it is: never read, or a write
 // of it was not answered.
-func (m *GrantManager) mustRead() bool {
+func (m *GrantManager) needsRead() bool {
 	budgets := m.o.Budgets()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -309,77 +309,77 @@
 		return true
 	}
 	for account := range budgets {
-		if !m.grant(account).decided {
+		if !m.grant(account).recordKnown {
 			return true
 		}
 	}
 	return false
 }
 
-// scarce says whether a router lacks more than a record can give, as it was last
+// isShort says whether a router lacks more than a record can give, as it was last
 // seen. Others may have returned or freed tokens since, which nothing but another
 // read shows: without it a home that found all granted elsewhere at its start
 // never draws again.
-func (m *GrantManager) scarce() bool {
+func (m *GrantManager) isShort() bool {
 	budgets := m.o.Budgets()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.o.Clock().Steady-m.readAt < readEvery {
+	if m.o.Clock().Steady-m.recordsReadAt < readInterval {
 		return false
 	}
 	for account, prepaid := range budgets {
 		p := m.grant(account)
 		left := p.granted - p.used()
-		wanted := max(p.waiting, int64(refillBelow*float64(p.ahead(Horizon, int64(firstShare*float64(prepaid)), m.role(p)))))
+		wanted := max(p.waitingTokens, int64(refillThreshold*float64(p.headroom(grantHorizon, int64(initialGrantShare*float64(prepaid)), m.role(p)))))
 		// A router that wants nothing is never short, also where it has used a little more
 		// than it got: all of a fleet read all records each 1.5 s for that.
-		if wanted > 0 && left < wanted && p.free(prepaid) < wanted-left {
+		if wanted > 0 && left < wanted && p.ungranted(prepaid) < wanted-left {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *GrantManager) read(ctx context.Context) bool {
+func (m *GrantManager) readRecords(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	budgets := m.o.Budgets()
 	snapshot, err := m.o.Store.Read(ctx, m.o.Prefix)
-	m.contact(err)
+	m.noteContact(err)
 	if err != nil {
 		return false
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.readAt = m.o.Clock().Steady
+	m.recordsReadAt = m.o.Clock().Steady
 	found := make(map[string]bool, len(snapshot.Items))
 	m.ledgerKnown, m.ledgerRevision = true, 0
 	for _, item := range snapshot.Items {
 		key := strings.TrimPrefix(item.Key, m.o.Prefix)
 		if account, isRecord := strings.CutPrefix(key, AccountKeyPrefix); isRecord {
 			found[account] = true
-			m.learn(m.grant(account), item)
+			m.applyRecordItem(m.grant(account), item)
 		}
 		if vm, isLedger := strings.CutPrefix(key, ledgerKeyPrefix); isLedger {
-			m.addresses[vm] = ledgerAddress(item.Value)
+			m.vmAddresses[vm] = ledgerAddress(item.Value)
 		}
 		if key == ledgerKeyPrefix+m.o.VM {
-			m.learnLedger(item)
+			m.applyLedgerItem(item)
 		}
 		if key == contactKeyPrefix+m.o.VM {
-			m.leasedIncarnation = string(item.Value)
+			m.leaseHolder = string(item.Value)
 		}
 	}
 	for account := range budgets {
-		if p := m.grant(account); !found[account] && !p.decided {
-			p.learned(newRecord(), 0, GrantEntry{})
+		if p := m.grant(account); !found[account] && !p.recordKnown {
+			p.applyRecord(newRecord(), 0, GrantEntry{})
 		}
 	}
 	return true
 }
 
-// learn takes a record as the store has it.
-func (m *GrantManager) learn(p *grant, item store.Item) {
+// applyRecordItem takes a record as the store has it.
+func (m *GrantManager) applyRecordItem(p *grant, item store.Item) {
 	if int64(item.Revision) < p.revision {
 		return
 	}
@@ -388,12 +388,12 @@
 		m.o.Log.Emit(event.InvariantBroken, slog.String(event.KeyBudget, p.account), slog.Any(event.KeyCause, err))
 		return
 	}
-	p.learned(record, int64(item.Revision), record.Entry(m.o.VM, m.o.Incarnation))
+	p.applyRecord(record, int64(item.Revision), record.GrantEntry(m.o.VM, m.o.Incarnation))
 }
 
-// learnLedger takes this VM's ledger as the store has it. Ceilings of this process's own
+// applyLedgerItem takes this VM's ledger as the store has it. Ceilings of this process's own
 // are not taken from it: an unanswered write may still land and lower them.
-func (m *GrantManager) learnLedger(item store.Item) {
+func (m *GrantManager) applyLedgerItem(item store.Item) {
 	m.ledgerRevision = int64(item.Revision)
 	ledger, err := DecodeLedger(item.Value)
 	if err != nil {
@@ -401,6 +401,6 @@
 		return
 	}
 	if ledger.Incarnation != m.o.Incarnation {
-		m.predecessor = ledger
+		m.predecessorLedger = ledger
 	}
 }
--- a/internal/escrow/keeper_test.go
+++ b/internal/escrow/keeper_test.go
@@ -38,7 +38,7 @@
 func startedBench() (*bench, *GrantManager, *grant) {
 	b := newBench(1_000_000)
 	k := b.keeper("p1", noPeers{})
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	return b, k, k.grant("boatyard")
 }
 
@@ -66,23 +66,23 @@
 func TestSuccessorFreesWhatWasOutOfReach(t *testing.T) {
 	c := qt.New(t)
 	b := newBench(1_000_000)
-	b.keeper("p1", noPeers{}).round(context.Background(), true)
+	b.keeper("p1", noPeers{}).syncStore(context.Background(), true)
 	c.Assert(b.record(c).TotalGranted() >= 200_000, qt.IsTrue)
 
 	b.steady += time.Second
-	b.keeper("p2", noPeers{}).round(context.Background(), true)
-	c.Assert(b.record(c).Closed <= int64(firstCeiling*1_000_000), qt.IsTrue, qt.Commentf("closed %d", b.record(c).Closed))
+	b.keeper("p2", noPeers{}).syncStore(context.Background(), true)
+	c.Assert(b.record(c).Closed <= int64(initialCeilingShare*1_000_000), qt.IsTrue, qt.Commentf("closed %d", b.record(c).Closed))
 }
 
 // Guards against grants that nobody frees because the account's home has moved.
 func TestSuccessorFreesAlsoWhereItIsNotHome(t *testing.T) {
 	c := qt.New(t)
 	b := newBench(1_000_000)
-	b.keeper("p1", noPeers{}).round(context.Background(), true)
+	b.keeper("p1", noPeers{}).syncStore(context.Background(), true)
 	granted := b.record(c).TotalGranted()
 	b.home = "elsewhere"
 	b.steady += time.Second
-	b.keeper("p2", noPeers{}).round(context.Background(), true)
+	b.keeper("p2", noPeers{}).syncStore(context.Background(), true)
 	c.Assert(b.record(c).TotalGranted() < granted/10, qt.IsTrue, qt.Commentf("%d of %d", b.record(c).TotalGranted(), granted))
 }
 
@@ -90,11 +90,11 @@
 func TestSuccessorOfAnIsolatedProcessFreesNothing(t *testing.T) {
 	c := qt.New(t)
 	b := newBench(1_000_000)
-	b.keeper("p1", noPeers{}).round(context.Background(), true)
+	b.keeper("p1", noPeers{}).syncStore(context.Background(), true)
 	granted := b.record(c).TotalGranted()
 
 	b.steady += 5 * time.Minute
-	b.keeper("p2", noPeers{}).round(context.Background(), true)
+	b.keeper("p2", noPeers{}).syncStore(context.Background(), true)
 	c.Assert(b.record(c).Closed, qt.Equals, granted)
 }
 
@@ -104,12 +104,12 @@
 	b, k, _ := startedBench()
 	granted := b.record(c).TotalGranted()
 	b.steady += 3500 * time.Millisecond
-	k.away, k.readAt = true, b.steady // a write failed; no read has succeeded since
-	k.round(context.Background(), true)
-	c.Assert(k.away, qt.IsFalse)
+	k.storeDown, k.recordsReadAt = true, b.steady // a write failed; no read has succeeded since
+	k.syncStore(context.Background(), true)
+	c.Assert(k.storeDown, qt.IsFalse)
 
 	b.steady += time.Second
-	b.keeper("p2", noPeers{}).round(context.Background(), true)
+	b.keeper("p2", noPeers{}).syncStore(context.Background(), true)
 	closed := b.record(c).Closed
 	c.Assert(closed < granted/2, qt.IsTrue, qt.Commentf("%d of %d", closed, granted))
 }
@@ -122,12 +122,12 @@
 	b.store.Put("budget/account/boatyard", all.Encode())
 	k := b.keeper("p1", noPeers{})
 	b.steady = time.Hour
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	c.Assert(k.grant("boatyard").granted, qt.Equals, int64(0))
 
 	b.store.Put("budget/account/boatyard", newRecord().Encode())
-	b.steady += readEvery
-	k.round(context.Background(), true)
+	b.steady += readInterval
+	k.syncStore(context.Background(), true)
 	c.Assert(k.grant("boatyard").granted > 0, qt.IsTrue)
 }
 
@@ -138,13 +138,13 @@
 	b.home = "elsewhere"
 	b.store.Put("budget/account/boatyard", newRecord().WithEntry("other-vm", "p0", GrantEntry{Seq: 1, Granted: 1_000_000}, nil).Encode())
 	k := b.keeper("p1", noPeers{})
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	p := k.grant("boatyard")
 	p.spent = 5
-	b.steady += readEvery
-	c.Assert(k.scarce(), qt.IsFalse)
-	p.waiting = 1
-	c.Assert(k.scarce(), qt.IsTrue)
+	b.steady += readInterval
+	c.Assert(k.isShort(), qt.IsFalse)
+	p.waitingTokens = 1
+	c.Assert(k.isShort(), qt.IsTrue)
 }
 
 // A planned stop returns all that was not spent.
@@ -179,8 +179,8 @@
 	c.Assert(err, qt.IsNil)
 	first.Settle(5_000)
 	b.paid["boatyard"] = 6_000
-	p.rate, p.weight, p.rateAt = 100_000, 1, b.steady // a busy account: its ceiling is high
-	k.round(context.Background(), true)
+	p.rate, p.rateWeight, p.rateUpdatedAt = 100_000, 1, b.steady // a busy account: its ceiling is high
+	k.syncStore(context.Background(), true)
 	c.Assert(b.record(c).TotalGranted() <= 6_000, qt.IsTrue, qt.Commentf("%d granted", b.record(c).TotalGranted()))
 	c.Assert(p.available(0) <= 1_000, qt.IsTrue, qt.Commentf("%d available", p.available(0)))
 }
--- a/internal/escrow/ledger_test.go
+++ b/internal/escrow/ledger_test.go
@@ -74,7 +74,7 @@
 	p := newGrant("boatyard")
 	p.rate = rate
 	outage := 6 * time.Second
-	allowed := Allowance{OutageRate: p.newOutageRate(prepaid)}.limitAt(outage)
+	allowed := Allowance{OutageRate: p.nextOutageRate(prepaid)}.limitAt(outage)
 	used := int64(rate * (outage - outageGrace).Seconds())
 	qt.Assert(t, allowed > used, qt.IsTrue, qt.Commentf("%d allowed, %d used", allowed, used))
 	qt.Assert(t, float64(allowed-used) < 0.1*prepaid, qt.IsTrue, qt.Commentf("%d of %d lost", allowed-used, prepaid))
@@ -84,7 +84,7 @@
 func granted(tokens int64) *grant {
 	p := newGrant("boatyard")
 	mine := GrantEntry{Seq: 1, Granted: tokens}
-	p.learned(newRecord().WithEntry("vm", "p1", mine, nil), 1, mine)
+	p.applyRecord(newRecord().WithEntry("vm", "p1", mine, nil), 1, mine)
 	return p
 }
 
@@ -92,14 +92,14 @@
 func TestCutEarlyInABudgetIsBridged(t *testing.T) {
 	const prepaid, rate = 3_500_000, 100_000
 	p := granted(2_000_000)
-	p.rate, p.weight, p.spent = rate, 1, 500_000
-	ceiling, _ := p.raised(p.granted, prepaid, home, 0)
-	allowed := Allowance{Ceiling: ceiling, OutageRate: p.newOutageRate(prepaid), OutageReserve: int64(reserveShare * float64(p.left(prepaid)))}
+	p.rate, p.rateWeight, p.spent = rate, 1, 500_000
+	ceiling, _ := p.nextCeiling(p.granted, prepaid, home, 0)
+	allowed := Allowance{Ceiling: ceiling, OutageRate: p.nextOutageRate(prepaid), OutageReserve: int64(outageReserveShare * float64(p.remaining(prepaid)))}
 	for age := outageGrace + time.Second; age <= 8*time.Second; age += 100 * time.Millisecond {
 		used := p.spent + int64(1.5*rate*age.Seconds())
 		qt.Assert(t, allowed.limitAt(age) >= used, qt.IsTrue, qt.Commentf("after %v: %d allowed, %d used", age, allowed.limitAt(age), used))
 	}
-	qt.Assert(t, allowed.limitAt(outageGrace) >= p.spent+int64(rate*aheadLeast.Seconds()), qt.IsTrue)
+	qt.Assert(t, allowed.limitAt(outageGrace) >= p.spent+int64(rate*minCeilingHeadroom.Seconds()), qt.IsTrue)
 }
 
 // Guards against a reserve that leaves nothing to those who come back from an outage.
@@ -108,12 +108,12 @@
 	for spent := int64(0); spent < prepaid; spent += 100_000 {
 		p := granted(prepaid)
 		p.rate, p.spent = rate, spent
-		left := p.left(prepaid)
-		ceiling, _ := p.raised(p.granted, prepaid, home, 0)
-		outageRate := p.newOutageRate(prepaid)
-		lost := Allowance{ceiling, outageRate, int64(reserveShare * float64(left))}.limitAt(8*time.Second) - ceiling
+		remaining := p.remaining(prepaid)
+		ceiling, _ := p.nextCeiling(p.granted, prepaid, home, 0)
+		outageRate := p.nextOutageRate(prepaid)
+		lost := Allowance{ceiling, outageRate, int64(outageReserveShare * float64(remaining))}.limitAt(8*time.Second) - ceiling
 		without := Allowance{ceiling, outageRate, 0}.limitAt(8*time.Second) - ceiling
-		qt.Assert(t, lost <= max(without, left/2), qt.IsTrue, qt.Commentf("%d of %d", lost, left))
+		qt.Assert(t, lost <= max(without, remaining/2), qt.IsTrue, qt.Commentf("%d of %d", lost, remaining))
 	}
 }
 
@@ -122,33 +122,33 @@
 	const prepaid, rate = 3_500_000, 100_000
 	p := granted(prepaid)
 	p.rate = rate
-	qt.Assert(t, p.aheadTime(prepaid) > 2400*time.Millisecond, qt.IsTrue)
+	qt.Assert(t, p.ceilingHeadroom(prepaid) > 2400*time.Millisecond, qt.IsTrue)
 	p.spent = 2_000_000
-	qt.Assert(t, p.aheadTime(prepaid), qt.Equals, 1050*time.Millisecond)
+	qt.Assert(t, p.ceilingHeadroom(prepaid), qt.Equals, 1050*time.Millisecond)
 	p.spent = 3_400_000
-	qt.Assert(t, p.aheadTime(prepaid), qt.Equals, aheadLeast)
+	qt.Assert(t, p.ceilingHeadroom(prepaid), qt.Equals, minCeilingHeadroom)
 	p.rate = 0
-	qt.Assert(t, p.aheadTime(prepaid), qt.Equals, aheadMost)
+	qt.Assert(t, p.ceilingHeadroom(prepaid), qt.Equals, maxCeilingHeadroom)
 }
 
 // Guards against spending tokens whose return is not answered.
 func TestUnansweredReturnIsNotSpent(t *testing.T) {
 	p := newGrant("boatyard")
-	p.learned(newRecord(), 5, GrantEntry{Granted: 1000})
+	p.applyRecord(newRecord(), 5, GrantEntry{Granted: 1000})
 	qt.Assert(t, p.granted, qt.Equals, int64(1000))
-	p.granted, p.pendingAt = 400, 5 // sent: granted 400, expected at revision 5
+	p.granted, p.pendingRevision = 400, 5 // sent: granted 400, expected at revision 5
 
-	p.learned(newRecord(), 5, GrantEntry{Granted: 1000})
+	p.applyRecord(newRecord(), 5, GrantEntry{Granted: 1000})
 	qt.Assert(t, p.granted, qt.Equals, int64(400), qt.Commentf("the write may land yet"))
 
-	p.learned(newRecord(), 6, GrantEntry{Granted: 1000})
+	p.applyRecord(newRecord(), 6, GrantEntry{Granted: 1000})
 	qt.Assert(t, p.granted, qt.Equals, int64(1000), qt.Commentf("another write came first"))
 }
 
 // Guards against an outage rate above the one that a successor may find.
 func TestPaceRisesOnlyWhenStored(t *testing.T) {
 	p := newGrant("boatyard")
-	p.granted, p.allowed = 10_000, Allowance{Ceiling: 100, OutageRate: 50}
+	p.granted, p.allowance = 10_000, Allowance{Ceiling: 100, OutageRate: 50}
 	age := outageGrace + time.Second
 	qt.Assert(t, p.available(0), qt.Equals, int64(100))
 	qt.Assert(t, p.available(age), qt.Equals, int64(150))
--- a/internal/escrow/lend.go
+++ b/internal/escrow/lend.go
@@ -41,9 +41,9 @@
 	h.grant.reserved -= loan.Tokens
 	loan.Used = h.grant.used()
 	h.grant.lent += loan.Tokens
-	loan.Spent = h.grant.netSpent() - h.grant.lately.sum(m.o.Clock().Steady)
-	h.grant.use += loan.Tokens
-	h.grant.lately.add(loan.Tokens, m.o.Clock().Steady)
+	loan.Spent = h.grant.netSpent() - h.grant.recentlyLent.sum(m.o.Clock().Steady)
+	h.grant.usedSinceRateUpdate += loan.Tokens
+	h.grant.recentlyLent.add(loan.Tokens, m.o.Clock().Steady)
 	return loan
 }
 
@@ -51,7 +51,7 @@
 func (m *GrantManager) refreshStandby(p *grant) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p.askedAt = m.o.Clock().Steady
+	p.lastAskedAt = m.o.Clock().Steady
 }
 
 // drawForLoan draws what a loan lacks, and says why it still does.
@@ -70,7 +70,7 @@
 	}
 	m.o.Log.Emit(event.LoanShort, slog.String(event.KeyBudget, h.grant.account), slog.Int64("missing", h.missing), slog.Any(event.KeyCause, err))
 	short := shortageOf(err)
-	if short == StoreUnreachable && !m.isAway() {
+	if short == StoreUnreachable && !m.isStoreDown() {
 		return DrawPending
 	}
 	return short
@@ -82,7 +82,7 @@
 	defer m.mu.Unlock()
 	p := m.grant(account)
 	p.lent -= tokens
-	p.use -= tokens
+	p.usedSinceRateUpdate -= tokens
 }
 
 const (
@@ -124,7 +124,7 @@
 	byHome := make(map[string]map[string]int64)
 	for account, p := range m.grants {
 		address := m.o.Home(account)
-		tokens := p.available(m.age())
+		tokens := p.available(m.contactAge())
 		if m.role(p) != borrower || tokens <= 0 {
 			continue
 		}
@@ -155,7 +155,7 @@
 	m.mu.Lock()
 	left := make(map[string]int64)
 	for account, p := range m.grants {
-		if tokens := p.available(m.age()); tokens > 0 {
+		if tokens := p.available(m.contactAge()); tokens > 0 {
 			left[account] = tokens
 			p.lent += tokens
 		}
@@ -184,7 +184,7 @@
 	for account, n := range tokens {
 		p := m.grant(account)
 		p.borrowed += max(0, n)
-		p.use -= max(0, n)
+		p.usedSinceRateUpdate -= max(0, n)
 	}
 	return true
 }
--- a/internal/escrow/outage_test.go
+++ b/internal/escrow/outage_test.go
@@ -14,15 +14,15 @@
 	b := newBench(1_000_000)
 	b.home = "elsewhere"
 	k := b.keeper("p1", noPeers{})
-	k.round(context.Background(), true)
-	k.grant("boatyard").waiting = 10
+	k.syncStore(context.Background(), true)
+	k.grant("boatyard").waitingTokens = 10
 	b.store.SetDown(true)
-	k.round(context.Background(), false)
-	c.Assert(k.isAway(), qt.IsTrue)
-	k.grant("boatyard").waiting = 0
+	k.syncStore(context.Background(), false)
+	c.Assert(k.isStoreDown(), qt.IsTrue)
+	k.grant("boatyard").waitingTokens = 0
 	b.store.SetDown(false)
-	k.round(context.Background(), k.isAway())
-	c.Assert(k.isAway(), qt.IsFalse)
+	k.syncStore(context.Background(), k.isStoreDown())
+	c.Assert(k.isStoreDown(), qt.IsFalse)
 }
 
 // fewPeers lend what they have and tell what they used.
@@ -41,13 +41,13 @@
 	b := newBench(1_000_000)
 	b.store.SetDown(true)
 	k := b.keeper("p1", fewPeers{left: 10_000})
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	_, err := k.Reserve(context.Background(), "boatyard", 8_000)
 	c.Assert(err, qt.IsNil)
 
 	b.steady += time.Minute // nothing opens soon: no use in waiting
 	k = b.keeper("p2", noPeers{})
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	_, err = k.Reserve(context.Background(), "boatyard", 8_000)
 	c.Assert(err, qt.Equals, ErrUnreachable)
 }
@@ -56,15 +56,15 @@
 func TestReservationWaitsForTheOpening(t *testing.T) {
 	c := qt.New(t)
 	b, k, _ := startedBench()
-	k.away = true
+	k.storeDown = true
 	served := make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	b.steady = outageGrace
-	k.grant("boatyard").spent = k.grant("boatyard").allowed.Ceiling
+	k.grant("boatyard").spent = k.grant("boatyard").allowance.Ceiling
 	b.steady += 1200 * time.Millisecond
 	go func() {
-		_, err := k.Reserve(ctx, "boatyard", k.grant("boatyard").allowed.OutageRate)
+		_, err := k.Reserve(ctx, "boatyard", k.grant("boatyard").allowance.OutageRate)
 		served <- err
 	}()
 	c.Assert(<-served, qt.IsNil)
@@ -78,7 +78,7 @@
 	b.store.SetDown(true)
 	b.steady = time.Minute
 	k := b.keeper("p1", noPeers{})
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	for i := 0; i < isolationThreshold; i++ {
 		c.Assert(k.Isolated(), qt.IsFalse)
 		_, err := k.Reserve(context.Background(), "boatyard", 8_000)
@@ -99,32 +99,32 @@
 	other := GrantEntry{Seq: 1, Granted: 100_000}
 	b.store.Put("budget/account/boatyard", newRecord().WithEntry("lost-vm", "gone", other, nil).Encode())
 	k := b.keeper("p1", noPeers{})
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	c.Assert(reserveError(k), qt.Equals, ErrContended)
 
 	other.Spent = 95_000
 	b.store.Put("budget/account/boatyard", newRecord().WithEntry("lost-vm", "gone", other, nil).Encode())
 	k = b.keeper("p2", noPeers{})
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	c.Assert(reserveError(k), qt.Equals, ErrExhausted)
 
 	b.store.Put("budget/account/boatyard", newRecord().Encode())
 	k = b.keeper("p3", noPeers{})
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	p := k.grant("boatyard")
-	p.granted, p.allowed.Ceiling = 100_000, 100_000
+	p.granted, p.allowance.Ceiling = 100_000, 100_000
 	p.record = newRecord().WithEntry("vm", "p3", GrantEntry{Seq: 1, Granted: 100_000}, nil)
 	c.Assert(k.Lend("boatyard", 95_000, "waiter").Short, qt.Equals, NoShortage)
 	c.Assert(reserveError(k), qt.Equals, ErrContended, qt.Commentf("lent a moment ago"))
 	b.steady += 3 * recentLoanWindow
-	k.readAt = b.steady
+	k.recordsReadAt = b.steady
 	c.Assert(reserveError(k), qt.Equals, ErrExhausted)
 }
 
 // reserveError is what a request of 8,000 tokens is refused with. The records count as read
 // just now, so that no round with the store is waited for.
 func reserveError(k *GrantManager) error {
-	k.readAt = k.o.Clock().Steady
+	k.recordsReadAt = k.o.Clock().Steady
 	_, err := k.Reserve(context.Background(), "boatyard", 8_000)
 	return err
 }
@@ -134,9 +134,9 @@
 	c := qt.New(t)
 	b, k, _ := startedBench()
 	b.store.SetDown(true)
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	p := k.grant("boatyard")
-	p.allowed, p.granted = Allowance{OutageRate: 10_000}, 100_000
+	p.allowance, p.granted = Allowance{OutageRate: 10_000}, 100_000
 	lend := func(tokens int64, waiter string) int64 {
 		return k.Lend("boatyard", tokens, waiter).Tokens
 	}
@@ -160,11 +160,11 @@
 	record.Closed = 900
 	b.store.Put("budget/account/boatyard", record.Encode())
 	k := b.keeper("p1", noPeers{})
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	c.Assert(k.Lend("boatyard", 500, "waiter").Short, qt.Equals, InDoubt)
 	record.ClosedSpent = 900
 	b.store.Put("budget/account/boatyard", record.Encode())
-	c.Assert(k.read(context.Background()), qt.IsTrue)
+	c.Assert(k.readRecords(context.Background()), qt.IsTrue)
 	c.Assert(k.Lend("boatyard", 500, "waiter").Short, qt.Equals, Exhausted)
 }
 
@@ -190,7 +190,7 @@
 	peers := &standbyPeers{}
 	k := b.keeper("p1", peers)
 	k.o.Holders = func(string) []string { return []string{"home", "standby"} }
-	k.round(context.Background(), true)
+	k.syncStore(context.Background(), true)
 	_, err := k.Reserve(context.Background(), "boatyard", 8_000)
 	c.Assert(err, qt.IsNil)
 	c.Assert(peers.asked, qt.DeepEquals, []string{"home", "standby"})
--- a/internal/escrow/record.go
+++ b/internal/escrow/record.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// Entry returns the figure of one incarnation.
-func (r Record) Entry(vm, incarnation string) GrantEntry {
+// GrantEntry returns the figure of one incarnation.
+func (r Record) GrantEntry(vm, incarnation string) GrantEntry {
 	return r.Holders[vm][incarnation]
 }
 
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -62,7 +62,7 @@
 func (m *GrantManager) allowanceGrowsSoon() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.away && m.age() < outageGrace+outageRetryWindow
+	return m.storeDown && m.contactAge() < outageGrace+outageRetryWindow
 }
 
 // sleep waits; false if ctx ended first.
@@ -109,7 +109,7 @@
 func (m *GrantManager) Isolated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.away && m.isolated >= isolationThreshold
+	return m.storeDown && m.isolated >= isolationThreshold
 }
 
 // pendingReservation is a reservation that is being put together. What it has is set aside at
@@ -129,12 +129,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if waiterID == "" {
-		m.waiters++
-		waiterID = m.o.Incarnation + "/" + strconv.FormatInt(m.waiters, 10)
+		m.lastWaiterID++
+		waiterID = m.o.Incarnation + "/" + strconv.FormatInt(m.lastWaiterID, 10)
 	}
 	h := &pendingReservation{keeper: m, grant: m.grant(account), tokens: tokens, missing: tokens, queued: queued, waiterID: waiterID}
 	h.fill()
-	if _, short := h.grant.raised(h.grant.granted, m.o.Budgets()[account], m.role(h.grant), m.roundTrip); short {
+	if _, short := h.grant.nextCeiling(h.grant.granted, m.o.Budgets()[account], m.role(h.grant), m.roundTrip); short {
 		m.wakeUp()
 	}
 	return h
@@ -142,8 +142,8 @@
 
 // fill takes from the grant what it can. The keeper is locked.
 func (h *pendingReservation) fill() {
-	available := h.grant.available(h.keeper.age())
-	if h.keeper.away {
+	available := h.grant.available(h.keeper.contactAge())
+	if h.keeper.storeDown {
 		available = h.outageShare(available)
 	}
 	taken := max(0, min(h.missing, available))
@@ -193,7 +193,7 @@
 func (m *GrantManager) drawTimeout() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return max(minDrawTimeout, slowWrites*(m.roundTrip+roundPause))
+	return max(minDrawTimeout, writesInFlight*(m.roundTrip+syncPause))
 }
 
 // awaitDraw waits until the hold is filled by a draw, or says why it can't be.
@@ -239,15 +239,15 @@
 	switch {
 	case h.missing == 0:
 		return nil, nil
-	case m.away:
+	case m.storeDown:
 		return nil, ErrUnreachable
-	case h.grant.decided && (waited || m.recordsFresh()) && m.exceedsRecord(h):
+	case h.grant.recordKnown && (waited || m.recordsFresh()) && m.exceedsRecord(h):
 		err := m.shortageError(h)
 		if !errors.Is(err, ErrContended) || !m.requestGather(h) {
 			return nil, err
 		}
 	}
-	h.grant.waiting += h.missing
+	h.grant.waitingTokens += h.missing
 	m.wakeUp()
 	return m.changed, nil
 }
@@ -256,17 +256,17 @@
 // can't be served is refused at once, and not after a round with the store that only says
 // the same.
 func (m *GrantManager) recordsFresh() bool {
-	return m.readAt > 0 && m.o.Clock().Steady-m.readAt < readEvery
+	return m.recordsReadAt > 0 && m.o.Clock().Steady-m.recordsReadAt < readInterval
 }
 
 // exceedsRecord says whether the record can't give what is missing.
 func (m *GrantManager) exceedsRecord(h *pendingReservation) bool {
 	p := h.grant
-	return p.free(m.o.Budgets()[p.account])+p.granted-p.used() < h.missing
+	return p.ungranted(m.o.Budgets()[p.account])+p.granted-p.used() < h.missing
 }
 
 func (m *GrantManager) stopWaiting(h *pendingReservation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	h.grant.waiting -= h.missing
+	h.grant.waitingTokens -= h.missing
 }
--- a/internal/escrow/stop.go
+++ b/internal/escrow/stop.go
@@ -15,9 +15,9 @@
 func (m *GrantManager) ReturnGrants(ctx context.Context) error {
 	m.mu.Lock()
 	m.stopped = true
-	away := m.away
+	storeDown := m.storeDown
 	m.mu.Unlock()
-	if away {
+	if storeDown {
 		return ErrUnreachable
 	}
 	const rounds = 8 // each conflict means that another router's write landed
@@ -43,14 +43,14 @@
 	defer m.mu.Unlock()
 	d := draw{}
 	for _, p := range m.grants {
-		if !p.decided || p.record.Entry(m.o.VM, m.o.Incarnation).Seq == 0 || len(d.grants) == txnAccounts {
+		if !p.recordKnown || p.record.GrantEntry(m.o.VM, m.o.Incarnation).Seq == 0 || len(d.grants) == maxTxnAccounts {
 			continue
 		}
 		used := max(0, min(p.granted, p.used()))
 		p.granted = min(p.granted, used)
-		d.pendingAt = append(d.pendingAt, p.pendingAt)
+		d.pendingRevision = append(d.pendingRevision, p.pendingRevision)
 		d.grants = append(d.grants, p)
-		d.put(m.accountKey(p), p.revision, p.record.WithoutEntry(m.o.VM, m.o.Incarnation, used, m.mostSpent(&d, p)))
+		d.putRecord(m.accountKey(p), p.revision, p.record.WithoutEntry(m.o.VM, m.o.Incarnation, used, m.maxSpent(&d, p)))
 	}
 	return d, len(d.grants) > 0
 }
@@ -62,19 +62,19 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if errors.Is(err, store.ErrConflict) {
-		m.conflicted(d, result)
+		m.applyConflict(d, result)
 		return err
 	}
 	if errors.Is(err, store.ErrUnavailable) {
 		for i, p := range d.grants { // nothing was done: the grants are still here
-			p.pendingAt = d.pendingAt[i]
-			p.learned(p.record, p.revision, p.record.Entry(m.o.VM, m.o.Incarnation))
+			p.pendingRevision = d.pendingRevision[i]
+			p.applyRecord(p.record, p.revision, p.record.GrantEntry(m.o.VM, m.o.Incarnation))
 		}
 	}
 	if err != nil {
 		return errors.Wrap(err, "return of grants")
 	}
-	m.logEnds(d)
+	m.logClosedGrants(d)
 	for i, p := range d.grants {
 		p.record, p.revision = d.records[i], int64(result.Revision)
 		m.o.Log.Emit(event.GrantsReturned, slog.String(event.KeyBudget, p.account), slog.Int64("spent", p.spent))
--- a/internal/escrow/world_test.go
+++ b/internal/escrow/world_test.go
@@ -110,7 +110,7 @@
 		// A reservation that waits makes the next round draw for it.
 		if rapid.Bool().Draw(w.t, "waits") {
 			if changed, _ := r.keeper.fillOrWait(h, false); changed != nil {
-				r.keeper.round(context.Background(), false)
+				r.keeper.syncStore(context.Background(), false)
 				r.keeper.stopWaiting(h)
 			}
 		}
@@ -126,7 +126,7 @@
 	for i := rapid.IntRange(1, 12).Draw(w.t, "requests"); i > 0; i-- {
 		h := r.keeper.newPendingReservation(account, rapid.Int64Range(1, 15_000).Draw(w.t, "tokens"), true, "")
 		if changed, _ := r.keeper.fillOrWait(h, false); changed != nil {
-			r.keeper.round(context.Background(), rapid.Bool().Draw(w.t, "refresh"))
+			r.keeper.syncStore(context.Background(), rapid.Bool().Draw(w.t, "refresh"))
 			r.keeper.stopWaiting(h)
 		}
 		if changed, _ := r.keeper.fillOrWait(h, true); changed != nil {
@@ -162,9 +162,9 @@
 	reservation.Settle(used)
 }
 
-func (w *world) round(*rapid.T) {
+func (w *world) syncStore(*rapid.T) {
 	r := w.router("router")
-	r.keeper.round(context.Background(), rapid.Bool().Draw(w.t, "refresh"))
+	r.keeper.syncStore(context.Background(), rapid.Bool().Draw(w.t, "refresh"))
 }
 
 // lend moves tokens between two routers; the answer may be lost and the loan
@@ -172,7 +172,7 @@
 func (w *world) lend(*rapid.T) {
 	from, to, account := w.router("from"), w.router("to"), w.account()
 	from.keeper.mu.Lock()
-	available := from.keeper.grant(account).available(from.keeper.age())
+	available := from.keeper.grant(account).available(from.keeper.contactAge())
 	from.keeper.mu.Unlock()
 	if from == to || available <= 0 {
 		return
@@ -196,7 +196,7 @@
 func (w *world) ask(*rapid.T) {
 	from, to, account := w.router("holder"), w.router("borrower"), w.account()
 	from.keeper.mu.Lock()
-	available := from.keeper.grant(account).available(from.keeper.age())
+	available := from.keeper.grant(account).available(from.keeper.contactAge())
 	from.keeper.mu.Unlock()
 	from.keeper.refreshStandby(from.keeper.grant(account))
 	if from == to || available <= 0 {
@@ -303,7 +303,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, rapid.IntRange(1, 4).Draw(t, "vms"))
 		t.Repeat(map[string]func(*rapid.T){
-			"reserve": w.reserve, "work": w.work, "work more": w.work, "work on": w.work, "settle": w.settle, "round": w.round, "round again": w.round,
+			"reserve": w.reserve, "work": w.work, "work more": w.work, "work on": w.work, "settle": w.settle, "round": w.syncStore, "round again": w.syncStore,
 			"lend": w.lend, "kill": w.kill, "lose power": w.losePower, "stop": w.stop, "tick": w.tick,
 			"outage": w.outage, "fates": w.fates, "settle late": w.settleLate, "": w.check,
 		})
@@ -341,7 +341,7 @@
 		h := r.keeper.newPendingReservation(account, rapid.Int64Range(1, 15_000).Draw(w.t, "tokens"), true, "")
 		for range 3 {
 			if changed, _ := r.keeper.fillOrWait(h, true); changed != nil {
-				r.keeper.round(context.Background(), true)
+				r.keeper.syncStore(context.Background(), true)
 				for _, g := range r.keeper.takeGatherings() {
 					r.keeper.runGather(context.Background(), g)
 				}
@@ -357,7 +357,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, rapid.IntRange(2, 4).Draw(t, "vms"))
 		t.Repeat(map[string]func(*rapid.T){
-			"use up": w.useUp, "use up more": w.useUp, "work": w.work, "reserve": w.reserve, "settle": w.settle, "round": w.round,
+			"use up": w.useUp, "use up more": w.useUp, "work": w.work, "reserve": w.reserve, "settle": w.settle, "round": w.syncStore,
 			"kill": w.kill, "lose power": w.losePower, "stop": w.stop, "tick": w.tick,
 			"outage": w.outage, "fates": w.fates, "settle late": w.settleLate, "": w.check,
 		})
@@ -369,7 +369,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, rapid.IntRange(2, 5).Draw(t, "vms"))
 		t.Repeat(map[string]func(*rapid.T){
-			"reserve": w.reserve, "work": w.work, "work more": w.work, "settle": w.settle, "round": w.round, "round again": w.round,
+			"reserve": w.reserve, "work": w.work, "work more": w.work, "settle": w.settle, "round": w.syncStore, "round again": w.syncStore,
 			"ask": w.ask, "ask again": w.ask, "hand back": w.handBack, "lend": w.lend, "kill": w.kill, "lose power": w.losePower,
 			"stop": w.stop, "tick": w.tick, "outage": w.outage, "fates": w.fates, "settle late": w.settleLate, "": w.check,
 		})
