--- a/internal/fleet/evacuations.go
+++ b/internal/fleet/evacuations.go
@@ -10,43 +10,43 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// ParseEvacuationKey reads the failure domain that an item of the operators orders to be evacuated.
-// isOrder is false for an item that is no such order; its domain is empty if it names none.
+// ParseEvacuationKey parses a store key as an operator's order to evacuate a failure domain.
+// isOrder is false if the key is not an evacuation order; domain is empty if the order names none.
 type ParseEvacuationKey func(key string) (domain string, isOrder bool)
 
-// Evacuations follows the operators' orders to evacuate failure domains: from an order's
-// writing to its removal the backend servers of its domain get nothing new. While the store
-// is away the orders known last stay in force.
+// Evacuations tracks the operators' orders to evacuate failure domains. While an order exists,
+// the backend servers of its domain get no new requests. If the store is unreachable, the last
+// known orders stay in force.
 type Evacuations struct {
-	domainOf ParseEvacuationKey
+	parseKey ParseEvacuationKey
 	registry *Registry
 	log      *event.Log
 
 	mu sync.Mutex
-	// orders are those in force, by key.
+	// orders holds the orders in force by store key.
 	orders map[string]store.Item
 }
 
-// NewEvacuations makes a list without orders; registry is told of each.
-func NewEvacuations(domainOf ParseEvacuationKey, registry *Registry, log *event.Log) *Evacuations {
-	return &Evacuations{domainOf: domainOf, registry: registry, log: log, orders: make(map[string]store.Item)}
+// NewEvacuations returns an empty set of orders that applies each order to registry.
+func NewEvacuations(parseKey ParseEvacuationKey, registry *Registry, log *event.Log) *Evacuations {
+	return &Evacuations{parseKey: parseKey, registry: registry, log: log, orders: make(map[string]store.Item)}
 }
 
-// Reset replaces all orders by those among the items.
+// Reset replaces all orders with those in items.
 func (e *Evacuations) Reset(items []store.Item) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	reset(e, items)
 }
 
-// Apply takes changes in their order.
+// Apply applies store changes in order.
 func (e *Evacuations) Apply(events []store.Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	apply(e, events)
 }
 
-// Items returns the orders in force, for another router.
+// Items returns the stored items of the orders in force, to send to another router.
 func (e *Evacuations) Items() []store.Item {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -54,7 +54,7 @@
 }
 
 func (e *Evacuations) put(item store.Item) {
-	domain, isOrder := e.domainOf(item.Key)
+	domain, isOrder := e.parseKey(item.Key)
 	if !isOrder || e.orders[item.Key].Revision >= item.Revision {
 		return
 	}
@@ -65,7 +65,7 @@
 	}
 	if domain == "" {
 		e.log.Emit(event.EntryRejected, slog.String("key", item.Key), slog.Int64("revision", int64(item.Revision)),
-			slog.String(event.KeyCause, "evacuation of no failure domain"))
+			slog.String(event.KeyCause, "evacuation order names no failure domain"))
 		return
 	}
 	servers := e.registry.evacuate(domain)
@@ -73,13 +73,13 @@
 		slog.Int("servers", servers))
 }
 
-func (e *Evacuations) missing(key string) {
+func (e *Evacuations) remove(key string) {
 	order, inForce := e.orders[key]
 	if !inForce {
 		return
 	}
 	delete(e.orders, key)
-	domain, _ := e.domainOf(key)
+	domain, _ := e.parseKey(key)
 	if domain == "" {
 		return
 	}
--- a/internal/fleet/evacuations_test.go
+++ b/internal/fleet/evacuations_test.go
@@ -17,8 +17,9 @@
 
 const testWarmUp = 3 * time.Second
 
-// evacuated is a registry with servers in two failure domains, and the orders about those.
-type evacuated struct {
+// evacuationTest is a registry with one server in each of two failure domains, and the evacuation
+// orders applied to it.
+type evacuationTest struct {
 	*qt.C
 	*Evacuations
 	registry *Registry
@@ -26,8 +27,8 @@
 	log      bytes.Buffer
 }
 
-func newEvacuated(t *testing.T) *evacuated {
-	e := &evacuated{C: qt.New(t)}
+func newEvacuationTest(t *testing.T) *evacuationTest {
+	e := &evacuationTest{C: qt.New(t)}
 	e.registry, e.clock = newRegistry()
 	e.registry.SetWarmUp(func(string) time.Duration { return testWarmUp })
 	domainOf := func(key string) (string, bool) { return strings.CutPrefix(key, "orders/evacuate/") }
@@ -37,19 +38,19 @@
 	return e
 }
 
-// put writes a server's entry at a revision, under the name of its domain.
-func (e *evacuated) put(revision store.Revision, domain string, cold time.Duration) {
+// put registers a server whose ID is the name of its failure domain.
+func (e *evacuationTest) put(revision store.Revision, domain string, cold time.Duration) {
 	value, err := json.Marshal(Entry{ID: domain, Service: "engines", Address: "10.0.0.1:80", Domain: domain, Cold: cold})
 	e.Assert(err, qt.IsNil)
-	e.registry.Apply([]store.Event{put(store.Item{Key: "servers/" + domain, Value: value, Revision: revision})}, usual)
+	e.registry.Apply([]store.Event{put(store.Item{Key: "servers/" + domain, Value: value, Revision: revision})}, normalSilence)
 }
 
 func order(domain string, revision store.Revision) store.Item {
 	return store.Item{Key: "orders/evacuate/" + domain, Value: []byte("{}"), Revision: revision}
 }
 
-// open lists the servers that may get requests, cold ones with a star.
-func (e *evacuated) open() string {
+// eligible lists the IDs of the servers that may get requests, with a star after cold ones.
+func (e *evacuationTest) eligible() string {
 	list := ""
 	for _, s := range e.registry.View().ByService["engines"] {
 		if s.Ineligible() {
@@ -64,59 +65,63 @@
 	return strings.TrimSpace(list)
 }
 
-// Guards against requests to servers that join an evacuated failure domain.
-func TestEvacuatedDomainIsClosedUntilItIsRestored(t *testing.T) {
-	e := newEvacuated(t)
+// Guards against requests to servers of an evacuated failure domain, including servers that are
+// registered after the order.
+func TestEvacuatedDomainGetsNoRequestsUntilRestored(t *testing.T) {
+	e := newEvacuationTest(t)
 	e.Apply([]store.Event{put(order("east", 5)), put(store.Item{Key: "orders/document", Revision: 6})})
-	e.Assert(e.open(), qt.Equals, "west")
-	e.Assert(e.registry.View().Total, qt.Equals, 2, qt.Commentf("the router stays ready"))
+	e.Assert(e.eligible(), qt.Equals, "west")
+	e.Assert(e.registry.View().Total, qt.Equals, 2, qt.Commentf("evacuated servers still count, so the router stays ready"))
 	e.Apply([]store.Event{put(order("east", 7)), put(order("north", 8))})
 	e.put(9, "north", 0)
-	e.Assert(e.open(), qt.Equals, "west")
+	e.Assert(e.eligible(), qt.Equals, "west")
 	e.Apply([]store.Event{{Item: order("east", 10), Deleted: true}, {Item: order("north", 11), Deleted: true}})
-	e.clock.pass(testWarmUp)
-	e.Assert(e.open(), qt.Equals, "east north west")
+	e.clock.advance(testWarmUp)
+	e.Assert(e.eligible(), qt.Equals, "east north west")
 }
 
-// A read replaces all orders: what it lacks was taken back while nobody looked.
-func TestReadReplacesAllOrders(t *testing.T) {
-	e := newEvacuated(t)
+// Reset replaces all orders: an order missing from the full read was removed while the store was
+// not watched.
+func TestResetReplacesAllOrders(t *testing.T) {
+	e := newEvacuationTest(t)
 	e.Reset([]store.Item{order("east", 5)})
-	e.Assert(e.open(), qt.Equals, "west")
+	e.Assert(e.eligible(), qt.Equals, "west")
 	e.Reset([]store.Item{order("west", 6)})
-	e.Assert(e.open(), qt.Equals, "east*")
-	e.Assert(e.Items(), qt.DeepEquals, []store.Item{order("west", 6)}, qt.Commentf("what a starting router is told"))
+	e.Assert(e.eligible(), qt.Equals, "east*")
+	e.Assert(e.Items(), qt.DeepEquals, []store.Item{order("west", 6)}, qt.Commentf("items sent to a starting router"))
 }
 
-// Guards against the usual share at once for servers that got cold while evacuated.
-func TestRestoredDomainCountsAsCold(t *testing.T) {
-	e := newEvacuated(t)
+// Guards against sending a restored domain its usual share of requests at once: its servers may
+// have become cold while evacuated.
+func TestRestoredDomainStartsCold(t *testing.T) {
+	e := newEvacuationTest(t)
 	e.Apply([]store.Event{put(order("east", 5))})
 	e.Apply([]store.Event{{Item: order("east", 6), Deleted: true}})
-	e.Assert(e.open(), qt.Equals, "east* west")
+	e.Assert(e.eligible(), qt.Equals, "east* west")
 	e.put(7, "east", 0)
-	e.Assert(e.open(), qt.Equals, "east* west", qt.Commentf("the worst of two sources counts"))
-	e.clock.pass(testWarmUp)
-	e.Assert(e.open(), qt.Equals, "east west")
+	e.Assert(e.eligible(), qt.Equals, "east* west", qt.Commentf("the longer of two cold times counts"))
+	e.clock.advance(testWarmUp)
+	e.Assert(e.eligible(), qt.Equals, "east west")
 }
 
-// An order that names no domain closes nothing, and a line tells of it.
-func TestOrderWithoutADomainClosesNothing(t *testing.T) {
-	e := newEvacuated(t)
+// An order that names no failure domain evacuates nothing and is logged.
+func TestOrderWithoutDomainEvacuatesNothing(t *testing.T) {
+	e := newEvacuationTest(t)
 	e.Apply([]store.Event{put(order("", 5)), {Item: order("", 6), Deleted: true}})
-	e.Assert(e.open(), qt.Equals, "east west")
+	e.Assert(e.eligible(), qt.Equals, "east west")
 	e.Assert(e.log.String(), qt.Contains, fmt.Sprintf(`"event":%d`, event.EntryRejected))
 }
 
-// Guards against heartbeats told on as changes, and a server turned cold that is not.
-func TestColdServersAreKnown(t *testing.T) {
-	e := newEvacuated(t)
+// Guards against reporting a heartbeat as a change, and against missing that a server has become
+// cold again.
+func TestRegistryTracksColdServers(t *testing.T) {
+	e := newEvacuationTest(t)
 	e.put(3, "north", 2*time.Second)
-	e.Assert(e.open(), qt.Equals, "east north* west")
-	e.clock.pass(2 * time.Second)
-	e.Assert(e.open(), qt.Equals, "east north west")
+	e.Assert(e.eligible(), qt.Equals, "east north* west")
+	e.clock.advance(2 * time.Second)
+	e.Assert(e.eligible(), qt.Equals, "east north west")
 	e.put(4, "east", time.Second)
-	e.Assert(e.open(), qt.Equals, "east* north west")
+	e.Assert(e.eligible(), qt.Equals, "east* north west")
 
 	item := func(cold time.Duration) store.Item {
 		value, err := json.Marshal(Entry{ID: "s", Service: "engines", Address: "10.0.0.1:80", Cold: cold})
@@ -130,10 +135,11 @@
 	e.Assert(e.registry.Same(item(time.Second), item(2*time.Second)), qt.IsFalse)
 }
 
-// A server says that it is cold for a year. It is believed for a minute, and again each time.
-func TestAbsurdColdTimeIsBounded(t *testing.T) {
-	e := newEvacuated(t)
+// Guards against a server that reports an absurdly long cold time and would get few requests for
+// that long.
+func TestColdTimeIsBounded(t *testing.T) {
+	e := newEvacuationTest(t)
 	e.put(3, "east", 365*24*time.Hour)
-	e.clock.pass(coldMost)
-	e.Assert(e.open(), qt.Equals, "east west")
+	e.clock.advance(maxColdTime)
+	e.Assert(e.eligible(), qt.Equals, "east west")
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,14 +12,14 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// clock is moved by the test only.
+// clock is a manual clock.
 type clock struct {
 	at time.Time
 }
 
 func (c *clock) now() time.Time { return c.at }
 
-func (c *clock) pass(d time.Duration) { c.at = c.at.Add(d) }
+func (c *clock) advance(d time.Duration) { c.at = c.at.Add(d) }
 
 func newRegistry() (*Registry, *clock) {
 	c := &clock{at: time.Unix(1000, 0)}
@@ -40,7 +40,7 @@
 
 func put(item store.Item) store.Event { return store.Event{Item: item} }
 
-func gone(id string, revision store.Revision) store.Event {
+func deletion(id string, revision store.Revision) store.Event {
 	return store.Event{Item: store.Item{Key: "servers/" + id, Revision: revision}, Deleted: true}
 }
 
@@ -52,94 +52,97 @@
 	return list
 }
 
-// usual is the time between two answers of the store in health.
-var usual = store.Silence{Length: time.Second, Ago: time.Millisecond}
+// normalSilence is the silence between two answers of a healthy store.
+var normalSilence = store.Silence{Length: time.Second, Ago: time.Millisecond}
 
-// outage is a silence in which calls failed, up to a moment before the answer.
+// outage is a silence in which store calls failed, and which ended shortly before the answer.
 func outage(length time.Duration) store.Silence {
 	return store.Silence{Length: length, Broken: true, Ago: 10 * time.Millisecond}
 }
 
-// Guards against new requests to a draining server because of a late, older entry.
-func TestDrainingIsNeverTakenBack(t *testing.T) {
+// Guards against new requests to a draining server after an older entry arrives late.
+func TestDrainingIsNotReverted(t *testing.T) {
 	r, _ := newRegistry()
 	r.Reset([]store.Item{entryItem("a", 1, false), entryItem("b", 2, false)}, store.Silence{})
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"a", "b"})
 	server := r.View().ByService["engines"][0]
 
-	r.Apply([]store.Event{put(entryItem("a", 5, true))}, usual)
+	r.Apply([]store.Event{put(entryItem("a", 5, true))}, normalSilence)
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"b"})
-	qt.Assert(t, server.Leaving(), qt.IsTrue, qt.Commentf("also for requests that chose from an older view"))
+	qt.Assert(t, server.Leaving(), qt.IsTrue, qt.Commentf("also seen by requests that hold an older view"))
 
-	r.Apply([]store.Event{put(entryItem("a", 3, false)), put(entryItem("a", 6, false))}, usual)
+	r.Apply([]store.Event{put(entryItem("a", 3, false)), put(entryItem("a", 6, false))}, normalSilence)
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"b"})
 }
 
-// Guards against requests to a server whose entry was removed in health.
-func TestRemovedEntryIsOutAtOnce(t *testing.T) {
+// Guards against requests to a server whose entry was removed while the store was reachable.
+func TestRemovedEntryIsDroppedAtOnce(t *testing.T) {
 	r, _ := newRegistry()
 	r.Reset([]store.Item{entryItem("a", 1, false), entryItem("b", 2, false)}, store.Silence{})
-	r.Apply([]store.Event{gone("a", 3)}, outage(1600*time.Millisecond))
+	r.Apply([]store.Event{deletion("a", 3)}, outage(1600*time.Millisecond))
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"b"})
 }
 
-// Guards against dropping living servers whose entries lapsed in an outage, and keeping the others.
-func TestLapsedEntriesGetTwoSecondsToComeBack(t *testing.T) {
+// Guards against dropping live servers whose entries expired during a store outage, and against
+// keeping dead ones.
+func TestEntriesExpiredInOutageGetGracePeriod(t *testing.T) {
 	r, c := newRegistry()
 	r.Reset([]store.Item{entryItem("a", 1, false), entryItem("b", 2, false)}, store.Silence{})
-	c.pass(10 * time.Second)
-	r.Apply([]store.Event{gone("a", 3), gone("b", 4)}, outage(10*time.Second))
+	c.advance(10 * time.Second)
+	r.Apply([]store.Event{deletion("a", 3), deletion("b", 4)}, outage(10*time.Second))
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"a", "b"})
-	c.pass(time.Second)
-	r.Apply([]store.Event{put(entryItem("a", 5, false))}, usual)
-	c.pass(1100 * time.Millisecond)
-	r.Apply(nil, usual)
+	c.advance(time.Second)
+	r.Apply([]store.Event{put(entryItem("a", 5, false))}, normalSilence)
+	c.advance(1100 * time.Millisecond)
+	r.Apply(nil, normalSilence)
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"a"})
 }
 
-// Guards against requests to a server that is not back in its time while no answer of the store comes.
-func TestLapsedEntryIsOutWithoutAnAnswer(t *testing.T) {
+// Guards against requests to a server that does not reregister within the grace period, when the
+// store sends no further answer.
+func TestGracePeriodEndsWithoutStoreAnswer(t *testing.T) {
 	r, c := newRegistry()
 	r.Contact(true, nil)
 	r.Reset([]store.Item{entryItem("a", 1, false), entryItem("b", 2, false)}, store.Silence{})
-	c.pass(10 * time.Second)
+	c.advance(10 * time.Second)
 	r.Reset([]store.Item{entryItem("b", 2, false)}, outage(10*time.Second))
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"a", "b"})
-	c.pass(lapseGrace)
+	c.advance(gracePeriod)
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"b"})
 }
 
-// Guards against dropping living servers because a second outage began in the grace of the first.
-func TestSecondOutageDoesNotUseUpTheGrace(t *testing.T) {
+// Guards against dropping live servers when a second outage begins within the grace period of the
+// first.
+func TestSecondOutageRestartsGracePeriod(t *testing.T) {
 	r, c := newRegistry()
 	r.Contact(true, nil)
 	r.Reset([]store.Item{entryItem("a", 1, false)}, store.Silence{})
-	c.pass(10 * time.Second)
-	r.Apply([]store.Event{gone("a", 3)}, outage(10*time.Second))
+	c.advance(10 * time.Second)
+	r.Apply([]store.Event{deletion("a", 3)}, outage(10*time.Second))
 	r.Contact(false, store.ErrUnavailable)
-	c.pass(5 * time.Second)
+	c.advance(5 * time.Second)
 	r.Contact(true, nil)
 	r.Apply(nil, outage(5*time.Second))
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"a"})
 }
 
-// A read after a lost history replaces all that was known.
-func TestResetDropsWhatIsMissing(t *testing.T) {
+// A full read, as done after the change history is lost, replaces all known entries.
+func TestResetDropsMissingEntries(t *testing.T) {
 	r, _ := newRegistry()
 	r.Reset([]store.Item{entryItem("a", 1, false), entryItem("b", 2, false)}, store.Silence{})
-	r.Reset([]store.Item{entryItem("b", 2, false)}, usual)
+	r.Reset([]store.Item{entryItem("b", 2, false)}, normalSilence)
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"b"})
 }
 
-// An entry that can't be read changes nothing, and takes nobody along.
-func TestMalformedEntryIsLeftOut(t *testing.T) {
+// An entry that can't be decoded is ignored and does not affect other entries.
+func TestMalformedEntryIsIgnored(t *testing.T) {
 	r, _ := newRegistry()
 	r.Reset([]store.Item{entryItem("a", 1, false), {Key: "servers/x", Value: []byte("{"), Revision: 2}}, store.Silence{})
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"a"})
 }
 
-// reborn is an entry of a server that started at a moment.
-func reborn(id string, revision store.Revision, born int64, draining bool) store.Item {
+// startedItem is the entry of a server process that started at the Unix time born, in milliseconds.
+func startedItem(id string, revision store.Revision, born int64, draining bool) store.Item {
 	value, err := json.Marshal(Entry{ID: id, Service: "engines", Address: "10.0.0.1:80", StartUnixMilli: born, Draining: draining})
 	if err != nil {
 		panic(err)
@@ -147,77 +150,81 @@
 	return store.Item{Key: "servers/" + id, Value: value, Revision: revision}
 }
 
-// Guards against judging a restarted server by the load, failures and prompts of its earlier start.
-func TestRestartedServerIsAnotherServer(t *testing.T) {
+// Guards against carrying load, failures and prefill of a server process over to the one that
+// replaces it.
+func TestRestartedServerHasFreshState(t *testing.T) {
 	r, c := newRegistry()
-	r.Reset([]store.Item{reborn("a", 1, 100, false)}, store.Silence{})
+	r.Reset([]store.Item{startedItem("a", 1, 100, false)}, store.Silence{})
 	before := r.View().ByService["engines"][0]
 	before.BeginRequest(5000)
 	before.SetLoad(Load{Running: 9}, c.now())
 	before.RecordFailure(c.now())
 
-	r.Apply([]store.Event{put(reborn("a", 2, 200, false))}, usual)
+	r.Apply([]store.Event{put(startedItem("a", 2, 200, false))}, normalSilence)
 	after := r.View().ByService["engines"][0]
 	qt.Assert(t, after.Status(c.now()), qt.Equals, Status{})
 	qt.Assert(t, after.Incarnation, qt.Not(qt.Equals), before.Incarnation)
-	qt.Assert(t, before.Leaving(), qt.IsTrue, qt.Commentf("for requests that chose it already"))
+	qt.Assert(t, before.Leaving(), qt.IsTrue, qt.Commentf("as seen by requests that already chose it"))
 	before.EndRequest()
 	qt.Assert(t, after.Status(c.now()).Outstanding, qt.Equals, 0)
 
-	r.Apply([]store.Event{put(reborn("a", 3, 200, false))}, usual)
+	r.Apply([]store.Event{put(startedItem("a", 3, 200, false))}, normalSilence)
 	qt.Assert(t, r.View().ByService["engines"][0], qt.Equals, after, qt.Commentf("a heartbeat changes nothing"))
 }
 
-// Guards against a server brought back by a late word of an earlier start.
-func TestDrainingEndsWithTheStart(t *testing.T) {
+// Guards against putting a draining server back into use because of a late entry from an earlier
+// process.
+func TestDrainingEndsWithRestart(t *testing.T) {
 	r, _ := newRegistry()
-	r.Reset([]store.Item{reborn("a", 1, 100, true)}, store.Silence{})
+	r.Reset([]store.Item{startedItem("a", 1, 100, true)}, store.Silence{})
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{})
-	r.Apply([]store.Event{put(reborn("a", 2, 200, false))}, usual)
+	r.Apply([]store.Event{put(startedItem("a", 2, 200, false))}, normalSilence)
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"a"})
-	r.Apply([]store.Event{put(reborn("a", 3, 200, true)), put(reborn("a", 4, 100, false))}, usual)
+	r.Apply([]store.Event{put(startedItem("a", 3, 200, true)), put(startedItem("a", 4, 100, false))}, normalSilence)
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{})
 }
 
-// Guards against use of a server whose entry another writer spoiled.
-func TestSpoiledEntryNamesNobody(t *testing.T) {
+// Guards against use of a server whose entry was overwritten with an unreadable one.
+func TestUnreadableEntryDisablesServer(t *testing.T) {
 	r, _ := newRegistry()
-	spoiled := func(id string, revision store.Revision) store.Event {
+	unreadable := func(id string, revision store.Revision) store.Event {
 		return put(store.Item{Key: "servers/" + id, Value: []byte("{"), Revision: revision})
 	}
 	r.Reset([]store.Item{entryItem("a", 1, false), entryItem("b", 2, false), entryItem("c", 3, true)}, store.Silence{})
-	r.Apply([]store.Event{spoiled("a", 4), spoiled("a", 5), spoiled("c", 6), spoiled("x", 7)}, usual)
+	r.Apply([]store.Event{unreadable("a", 4), unreadable("a", 5), unreadable("c", 6), unreadable("x", 7)}, normalSilence)
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"b"})
-	r.Apply([]store.Event{put(entryItem("a", 8, false)), put(entryItem("c", 9, false))}, usual)
+	r.Apply([]store.Event{put(entryItem("a", 8, false)), put(entryItem("c", 9, false))}, normalSilence)
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"a", "b"})
 }
 
-// Guards against new requests to a server that fails again and again.
-func TestFailedServerIsAvoidedForAWhile(t *testing.T) {
+// Guards against sending requests to a server that keeps failing, and against avoiding it longer
+// than maxBackoff.
+func TestFailedServerIsInBackoff(t *testing.T) {
 	c := &clock{at: time.Unix(1000, 0)}
 	s := NewServer(Entry{ID: "a"})
 	s.RecordFailure(c.now())
 	qt.Assert(t, s.Status(c.now()).InBackoff, qt.IsTrue)
-	c.pass(avoidFirst)
+	c.advance(minBackoff)
 	qt.Assert(t, s.Status(c.now()).InBackoff, qt.IsFalse)
 	for i := 0; i < 10; i++ {
 		s.RecordFailure(c.now())
 	}
-	c.pass(avoidMost)
+	c.advance(maxBackoff)
 	qt.Assert(t, s.Status(c.now()).InBackoff, qt.IsFalse)
 	s.RecordFailure(c.now())
 	s.RecordSuccess()
 	qt.Assert(t, s.Status(c.now()).InBackoff, qt.IsFalse)
 }
 
-// Guards against choosing by a load report without the own requests sent since, or by an old one.
-func TestLoadReportIsMovedByOwnRequests(t *testing.T) {
+// Guards against choosing a server by a stale load report, or by one that misses the requests that
+// this router sent since.
+func TestLoadReportIsAdjustedByOwnRequests(t *testing.T) {
 	c := &clock{at: time.Unix(1000, 0)}
 	s := NewServer(Entry{ID: "a"})
 	s.SetLoad(Load{Running: 5, Waiting: 2}, c.now())
 	s.BeginRequest(100)
 	qt.Assert(t, s.Status(c.now()).Running, qt.Equals, 8)
-	c.pass(2 * loadFresh)
+	c.advance(2 * maxLoadAge)
 	qt.Assert(t, s.Status(c.now()).Running, qt.Equals, 1)
 	s.Answered(100)
 	s.EndRequest()
@@ -234,29 +241,30 @@
 	return NewMembers(decode, event.Discard(), c.now), c
 }
 
-// Guards against a router that forgets all others between two cuts and has nobody to borrow from.
-func TestRoutersAreNotForgottenBetweenTwoOutages(t *testing.T) {
+// Guards against dropping all other routers when two store outages follow each other: there would
+// be no router left to borrow tokens from.
+func TestMembersSurviveTwoOutages(t *testing.T) {
 	m, c := newMembers()
 	m.Contact(true, nil)
 	m.Reset([]store.Item{memberItem("a"), memberItem("b")}, store.Silence{})
-	c.pass(9 * time.Second)
+	c.advance(9 * time.Second)
 	m.Apply([]store.Event{{Item: memberItem("a"), Deleted: true}, {Item: memberItem("b"), Deleted: true}}, outage(9*time.Second))
 	m.Contact(false, store.ErrUnavailable)
-	c.pass(3 * time.Second)
+	c.advance(3 * time.Second)
 	qt.Assert(t, m.List(), qt.HasLen, 2)
 	m.Contact(true, nil)
-	qt.Assert(t, m.List(), qt.HasLen, 2, qt.Commentf("before the answer is taken"))
+	qt.Assert(t, m.List(), qt.HasLen, 2, qt.Commentf("before the answer is applied"))
 	m.Apply(nil, outage(3*time.Second))
 	qt.Assert(t, m.List(), qt.HasLen, 2)
-	c.pass(lapseGrace)
-	qt.Assert(t, m.List(), qt.HasLen, 0, qt.Commentf("who is still missing then is gone"))
+	c.advance(gracePeriod)
+	qt.Assert(t, m.List(), qt.HasLen, 0, qt.Commentf("dropped if still missing after the grace period"))
 }
 
-// A router whose lease ran out in health is out of the list at once.
-func TestDeadRouterLeavesTheList(t *testing.T) {
+// A router whose lease expires while the store is reachable is removed at once.
+func TestExpiredMemberIsRemoved(t *testing.T) {
 	m, _ := newMembers()
 	m.Contact(true, nil)
 	m.Reset([]store.Item{memberItem("a"), memberItem("b")}, store.Silence{})
-	m.Apply([]store.Event{{Item: memberItem("a"), Deleted: true}}, usual)
+	m.Apply([]store.Event{{Item: memberItem("a"), Deleted: true}}, normalSilence)
 	qt.Assert(t, m.List(), qt.DeepEquals, []Member{{Name: "b"}})
 }
--- a/internal/fleet/lapses.go
+++ b/internal/fleet/lapses.go
@@ -6,73 +6,76 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// lapseGap is the silence of the store after which missing entries may have
-// lapsed with it rather than left. It is far above the pause between two reads, so
-// that a usual pause is never taken for an outage, and below the three heartbeats
-// that an entry survives.
-const lapseGap = 3 * time.Second
+// outageSilence is how long the store must have been silent for missing entries to be
+// treated as expired in an outage rather than removed. It is far above the interval
+// between two reads, so that a normal pause is never taken for an outage, and below the
+// three heartbeats that an entry survives.
+const outageSilence = 3 * time.Second
 
-// lapseGrace is how long entries that lapsed during an outage stay in use after
-// the store's return: living servers are back within two seconds.
-const lapseGrace = 2 * time.Second
+// gracePeriod is how long entries that expired during an outage stay in use after the
+// store is back: live servers reregister within two seconds.
+const gracePeriod = 2 * time.Second
 
-// lapseLatest bounds the same from the moment at which the store may have returned. An
-// entry that was removed in the outage, or after it, is taken for a lapsed one too, and its
-// server is used although it left. Three seconds after the return a router is held to the
-// bound of leaving servers; the rest is for the requests on their way.
-const lapseLatest = 2800 * time.Millisecond
+// maxGraceSinceReturn bounds the grace period from the earliest time at which the store may
+// have been back. An entry that was removed during or after the outage is also kept for the
+// grace period, so a server that left still gets requests. From three seconds after the store
+// is back, the router must meet its bound on requests to servers that left; the difference
+// covers requests in flight.
+const maxGraceSinceReturn = 2800 * time.Millisecond
 
-// lapseAgain is the silence within the grace after which it begins anew: living servers
-// had no time to come back before it. A call that failed by itself is over in less.
-const lapseAgain = time.Second
+// repeatOutageSilence is how long the store must be silent within a grace period for the
+// period to start again: live servers had no time to reregister before the second outage.
+// A single failed call causes a shorter silence.
+const repeatOutageSilence = time.Second
 
-// lapses judges entries that are missing. During an outage of the store entries lapse
-// although their owners live; dropping those at once would empty the services, or send
-// all callers to the first router that reads, at the moment the store returns.
-type lapses struct {
+// grace decides whether missing entries are kept for a while. During a store outage the
+// leases of live servers and routers expire. Dropping their entries as soon as the store
+// is back would leave services without servers, or send all callers to the router that
+// reregisters first.
+type grace struct {
 	now func() time.Time
-	// quiet is the longest usual time between two answers of the store, beyond which
-	// lapseGap counts.
-	quiet time.Duration
-	// seeded: what is known came from another router while the store was away.
+	// usualSilence is the longest time between two answers of a healthy store. A longer
+	// silence is an outage if it exceeds usualSilence by more than outageSilence.
+	usualSilence time.Duration
+	// seeded is set if the entries came from another router and no store answer followed yet.
 	seeded bool
-	// until is when missing entries are taken as gone, if the store answers then.
-	until   time.Time
-	silence time.Duration // the one that the grace is for
-	// returned is when the store may have answered again at the earliest.
+	// end is when missing entries are dropped, if the store is reachable then.
+	end     time.Time
+	silence time.Duration // the silence that started the grace period
+	// returned is the earliest time at which the store may have been back.
 	returned time.Time
 }
 
-// noteSilence takes the time without an answer before one; after an outage the grace
-// begins.
-func (l *lapses) noteSilence(s store.Silence) {
-	if !l.seeded && s.Length <= lapseGap+l.quiet && !l.again(s) {
+// observeSilence records the silence before an answer of the store and starts the grace
+// period if it was an outage.
+func (g *grace) observeSilence(s store.Silence) {
+	if !g.seeded && s.Length <= outageSilence+g.usualSilence && !g.outageRepeated(s) {
 		return
 	}
-	l.seeded = false
-	now := l.now()
-	l.until = now.Add(min(lapseGrace, lapseLatest-s.Ago))
-	l.silence, l.returned = s.Length, now.Add(-s.Ago)
+	g.seeded = false
+	now := g.now()
+	g.end = now.Add(min(gracePeriod, maxGraceSinceReturn-s.Ago))
+	g.silence, g.returned = s.Length, now.Add(-s.Ago)
 }
 
-// again says whether an outage began in the grace of the one before.
-func (l *lapses) again(s store.Silence) bool {
-	return s.Broken && s.Length >= lapseAgain && l.now().Add(-s.Length).Before(l.until)
+// outageRepeated reports whether s is an outage that began within the current grace period.
+func (g *grace) outageRepeated(s store.Silence) bool {
+	return s.Broken && s.Length >= repeatOutageSilence && g.now().Add(-s.Length).Before(g.end)
 }
 
-// lenient says whether a missing entry is taken for a lapsed one.
-func (l *lapses) lenient() bool {
-	return l.now().Before(l.until)
+// active reports whether missing entries are still kept.
+func (g *grace) active() bool {
+	return g.now().Before(g.end)
 }
 
-// entries is what a sink of leased entries does with each of them. Its lock is held.
+// entries is a set of stored entries by key. Its lock is held during each call.
 type entries interface {
 	put(item store.Item)
-	missing(key string)
+	remove(key string)
 	keys() []string
 }
 
-// reset replaces what is known by what a read gave.
+// reset replaces all entries with the result of a full read.
 func reset(e entries, items []store.Item) {
 	present := make(map[string]bool, len(items))
 	for _, item := range items {
@@ -81,16 +84,16 @@
 	}
 	for _, key := range e.keys() {
 		if !present[key] {
-			e.missing(key)
+			e.remove(key)
 		}
 	}
 }
 
-// apply takes changes in their order.
+// apply applies changes in order.
 func apply(e entries, events []store.Event) {
 	for _, change := range events {
 		if change.Deleted {
-			e.missing(change.Key)
+			e.remove(change.Key)
 			continue
 		}
 		e.put(change.Item)
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -15,32 +15,33 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Member is a router that takes callers.
+// Member is a router that accepts callers.
 type Member struct {
-	Name    string // VM
+	Name    string // name of the router's VM
 	Address string // IP:port for callers
 	Peer    string // IP:port for other routers
 	Domain  string // failure domain
-	// Capacity is what the VM can carry beside others', in cores of work.
+	// Capacity is the VM's capacity relative to other VMs, in cores of work.
 	Capacity float64
 }
 
-// Rank orders routers for a key by weighted rendezvous hashing: the lowest comes first.
-// Each is first for a share of the keys that follows its capacity, and few keys move when
-// a router comes or goes. Without the weight a VM with a tenth of a link gets as much.
+// Rank returns the router's rank for a key by weighted rendezvous hashing; the lowest rank
+// comes first. Each router is first for a share of the keys proportional to its capacity, and
+// few keys move when a router joins or leaves. Without the weight, a VM with a tenth of the
+// network bandwidth would get as many keys as the others.
 func (m Member) Rank(key string) float64 {
 	const mantissa = 1 << 53
 	uniform := (float64(xxhash.Sum64String(key+"/"+m.Name)>>11) + 0.5) / mantissa
-	return -math.Log(uniform) / max(m.Capacity, leastCapacity)
+	return -math.Log(uniform) / max(m.Capacity, minCapacity)
 }
 
-// leastCapacity keeps a router that states none, or nearly none, in use.
-const leastCapacity = 0.01
+// minCapacity keeps a router in use whose stated capacity is zero or close to it.
+const minCapacity = 0.01
 
-// DecodeMember makes a Member from an item.
+// DecodeMember decodes a stored item.
 type DecodeMember func(store.Item) (Member, error)
 
-// Members follows the routers' leased entries. It is a store.Sink.
+// Members tracks the routers' leased entries. It is a store.Sink.
 type Members struct {
 	decode DecodeMember
 	log    *event.Log
@@ -48,28 +49,28 @@
 
 	mu      sync.Mutex
 	present map[string]Member
-	items   map[string]store.Item // of those present, as stored
-	lapsed  map[string]bool       // missing since an outage, and still kept
-	lapses  lapses
+	items   map[string]store.Item // stored items of the present members
+	expired map[string]bool       // missing since an outage, kept for the grace period
+	grace   grace
 	reached bool
-	// sorted is those present by name, made anew after a change; nil: not yet.
+	// sorted caches the present members in order of name; nil after a change.
 	sorted []Member
-	// version counts the changes.
+	// version is incremented by each change of present.
 	version uint64
 }
 
-// NewMembers makes an empty list. A nil now means time.Now.
+// NewMembers returns an empty list. A nil now means time.Now.
 func NewMembers(decode DecodeMember, log *event.Log, now func() time.Time) *Members {
 	if now == nil {
 		now = time.Now
 	}
 	return &Members{decode: decode, log: log, now: now, present: make(map[string]Member), items: make(map[string]store.Item),
-		lapsed: make(map[string]bool), lapses: lapses{now: now, quiet: memberWait}}
+		expired: make(map[string]bool), grace: grace{now: now, usualSilence: maxMemberSilence}}
 }
 
-// Contact implements store.Sink. While the store is away nothing that is missing can come
-// back: else a second outage right after the first empties the list. That it answers again
-// is taken from the answer itself.
+// Contact implements store.Sink. While the store is unreachable, missing members can't
+// reregister and are not dropped; otherwise a second outage right after the first would empty
+// the list. Only Reset and Apply, which carry the store's answer, mark it reachable again.
 func (m *Members) Contact(reached bool, cause error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -83,7 +84,7 @@
 func (m *Members) Reset(items []store.Item, silence store.Silence) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lapses.noteSilence(silence)
+	m.grace.observeSilence(silence)
 	reset(m, items)
 	m.reached = true
 }
@@ -92,13 +93,14 @@
 func (m *Members) Apply(events []store.Event, silence store.Silence) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lapses.noteSilence(silence)
+	m.grace.observeSilence(silence)
 	apply(m, events)
 	m.reached = true
 }
 
-// memberWait is the longest quiet time between two answers of the members' watch.
-const memberWait = 2300 * time.Millisecond
+// maxMemberSilence is the longest time between two answers of the watch on members if nothing
+// changes.
+const maxMemberSilence = 2300 * time.Millisecond
 
 func (m *Members) put(item store.Item) {
 	member, err := m.decode(item)
@@ -114,40 +116,40 @@
 		m.changed()
 	}
 	m.present[item.Key], m.items[item.Key] = member, item
-	delete(m.lapsed, item.Key)
+	delete(m.expired, item.Key)
 }
 
 func (m *Members) keys() []string {
 	return slices.Collect(maps.Keys(m.present))
 }
 
-func (m *Members) missing(key string) {
+func (m *Members) remove(key string) {
 	member, known := m.present[key]
 	if !known {
 		return
 	}
-	if m.lapses.lenient() {
-		m.lapsed[key] = true
+	if m.grace.active() {
+		m.expired[key] = true
 		return
 	}
 	m.log.Emit(event.PeerLeft, slog.String(event.KeyRouter, member.Name))
 	m.changed()
 	delete(m.present, key)
 	delete(m.items, key)
-	delete(m.lapsed, key)
+	delete(m.expired, key)
 }
 
-// Seed takes another router's knowledge, before the store was ever reached.
+// Seed adds entries learned from another router before the store was first reached.
 func (m *Members) Seed(items []store.Item) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, item := range items {
 		m.put(item)
 	}
-	m.lapses.seeded = true
+	m.grace.seeded = true
 }
 
-// Items returns the entries as they were stored, for another router.
+// Items returns the stored entries, to send to another router.
 func (m *Members) Items() []store.Item {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -158,7 +160,7 @@
 	return items
 }
 
-// Has says whether an entry is present, by its key.
+// Has reports whether an entry with this key is present.
 func (m *Members) Has(key string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -166,26 +168,26 @@
 	return found
 }
 
-// changed notes a change of the list.
+// changed invalidates the cached list after a change.
 func (m *Members) changed() {
 	m.sorted = nil
 	m.version++
 }
 
-// List returns the routers that take callers, in the order of their names.
+// List returns a copy of the present members in order of name.
 func (m *Members) List() []Member {
 	list, _ := m.Snapshot()
 	return slices.Clone(list)
 }
 
-// Snapshot returns the same for reading only, and a number that is another one after each
-// change, by which what was worked out from the list can be kept.
+// Snapshot returns the present members in order of name, and a version that differs after each
+// change, so that callers can cache what they derive from the list. The list must not be modified.
 func (m *Members) Snapshot() (list []Member, version uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.reached && !m.lapses.lenient() {
-		for key := range m.lapsed {
-			m.missing(key)
+	if m.reached && !m.grace.active() {
+		for key := range m.expired {
+			m.remove(key)
 		}
 	}
 	if m.sorted == nil {
--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -13,10 +13,10 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// DecodeEntry makes an Entry from an item of the registry.
+// DecodeEntry decodes a stored item.
 type DecodeEntry func(store.Item) (Entry, error)
 
-// Registry follows the backend servers' entries. It is a store.Sink, and safe for
+// Registry tracks the backend servers' entries. It is a store.Sink, and safe for
 // concurrent use.
 type Registry struct {
 	decode DecodeEntry
@@ -25,60 +25,63 @@
 
 	mu      sync.Mutex
 	servers map[string]*tracked
-	// rejected holds why the present entry of a key names no server, so that a writer
-	// that repeats itself costs one log line.
+	// rejected holds, by key, why the present entry can't be used, so that a writer that
+	// repeats a bad entry causes only one log line.
 	rejected map[string]string
-	// reached: the store answers. While it doesn't, no missing entry can come back.
+	// reached is set while the store is reachable. Otherwise a missing entry can't be
+	// written again and is not dropped.
 	reached bool
-	lapses  lapses
-	// evacuated are the failure domains whose servers get nothing new.
+	grace   grace
+	// evacuated holds the failure domains whose servers get no new requests.
 	evacuated map[string]bool
-	// warmUp is how long a service's servers are cold after a start.
+	// warmUp returns how long a service's servers are cold after a start.
 	warmUp func(service string) time.Duration
-	// heard is when the store, or who reads it for this router, last told something.
-	heard time.Time
-	view  atomic.Pointer[View]
-	// lapseDue is when the first of the missing entries is to be taken as gone; nil: none is
-	// missing. Kept as a time with its steady part: by the time of day, which may jump back,
-	// a server that left would stay in use for longer.
-	lapseDue atomic.Pointer[time.Time]
+	// lastAnswer is when the last answer came from the store, or from the router that reads
+	// the store on behalf of this one.
+	lastAnswer time.Time
+	view       atomic.Pointer[View]
+	// graceEnd is when the missing entries are to be dropped; nil if none is missing. It is a
+	// time.Time with a monotonic reading: if the wall clock jumped back, a server that left
+	// would stay in use for longer.
+	graceEnd atomic.Pointer[time.Time]
 }
 
-// tracked is a server with what the registry's last word on it was.
+// tracked is a server and its last known entry.
 type tracked struct {
 	server   *Server
 	revision store.Revision
-	item     store.Item // as it was stored last
-	// lapsed: the entry is missing after an outage, and the server still used.
-	lapsed bool
-	// unreadable: the present entry names no server to use. What is known is kept, since
-	// the server may write a good one again, and must not come back if it was leaving.
+	item     store.Item // last stored item
+	// expired is set if the entry is missing after an outage and the server is still used
+	// for the grace period.
+	expired bool
+	// unreadable is set if the present entry can't be decoded. The server's state is kept,
+	// since it may write a valid entry again, and must not get requests then if it was leaving.
 	unreadable bool
 }
 
-// View is the servers by service, in the order of their ids. It never changes.
+// View is an immutable list of the servers of each service, in order of their IDs.
 type View struct {
 	ByService map[string][]*Server
 	Total     int
 }
 
-// NewRegistry makes an empty registry. A nil now means time.Now.
+// NewRegistry returns an empty registry. A nil now means time.Now.
 func NewRegistry(decode DecodeEntry, log *event.Log, now func() time.Time) *Registry {
 	if now == nil {
 		now = time.Now
 	}
 	r := &Registry{decode: decode, log: log, now: now, servers: make(map[string]*tracked),
-		rejected: make(map[string]string), reached: true, lapses: lapses{now: now}, evacuated: make(map[string]bool),
+		rejected: make(map[string]string), reached: true, grace: grace{now: now}, evacuated: make(map[string]bool),
 		warmUp: func(string) time.Duration { return 0 }}
 	r.view.Store(&View{ByService: map[string][]*Server{}})
 	return r
 }
 
-// View returns the servers known now. A missing entry whose time to come back is over is
-// left out from then on: an answer of the store, which may be seconds away, would come too
-// late for it, and requests would reach a server long after it left.
+// View returns the servers known now. Missing entries are dropped here as soon as their grace
+// period ends: the next answer of the store may be seconds away, and until then requests would
+// be sent to a server that left.
 func (r *Registry) View() *View {
-	if due := r.lapseDue.Load(); due != nil && !r.now().Before(*due) {
+	if due := r.graceEnd.Load(); due != nil && !r.now().Before(*due) {
 		r.mu.Lock()
 		r.publish()
 		r.mu.Unlock()
@@ -86,8 +89,8 @@
 	return r.view.Load()
 }
 
-// Contact implements store.Sink. That the store answers again is taken from the answer
-// itself, or entries would be judged before what it tells of them.
+// Contact implements store.Sink. Only Reset and Apply, which carry the store's answer, mark it
+// reachable again: otherwise missing entries could be dropped before that answer is applied.
 func (r *Registry) Contact(reached bool, cause error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,40 +105,40 @@
 func (r *Registry) Reset(items []store.Item, silence store.Silence) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lapses.noteSilence(silence)
+	r.grace.observeSilence(silence)
 	reset(r, items)
-	r.answered()
+	r.recordAnswer()
 }
 
 // Apply implements store.Sink.
 func (r *Registry) Apply(events []store.Event, silence store.Silence) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lapses.noteSilence(silence)
+	r.grace.observeSilence(silence)
 	apply(r, events)
-	r.answered()
+	r.recordAnswer()
 }
 
-// answered ends what an answer told.
-func (r *Registry) answered() {
-	r.heard, r.reached = r.now(), true
+// recordAnswer notes that an answer of the store has been applied, and publishes the new view.
+func (r *Registry) recordAnswer() {
+	r.lastAnswer, r.reached = r.now(), true
 	r.publish()
 }
 
-// Seed takes another router's knowledge, before the store was ever reached.
+// Seed adds entries learned from another router before the store was first reached.
 func (r *Registry) Seed(items []store.Item) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, item := range items {
 		r.put(item)
 	}
-	r.lapses.seeded = true
+	r.grace.seeded = true
 	r.publish()
 }
 
-// Same says whether two entries of one key name the same server in the same state:
-// heartbeats change all entries all the time. A cold server that gets warm stays the same,
-// since each router counts that time down by itself; one that is cold anew does not.
+// Same reports whether two entries of one key describe the same server in the same state:
+// heartbeats rewrite all entries all the time. A shorter cold time is no difference, since each
+// router counts it down by itself; a cold time that did not shrink is one.
 func (r *Registry) Same(before, after store.Item) bool {
 	one, err := r.decode(before)
 	if err != nil {
@@ -149,19 +152,19 @@
 	return one == other
 }
 
-// HasIncarnation says whether a start of a server is registered.
-func (r *Registry) HasIncarnation(start string) bool {
+// HasIncarnation reports whether a server with this incarnation is registered.
+func (r *Registry) HasIncarnation(incarnation string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, known := range r.servers {
-		if known.server.Incarnation == start {
+		if known.server.Incarnation == incarnation {
 			return true
 		}
 	}
 	return false
 }
 
-// Items returns the entries as they were stored last, for another router.
+// Items returns the last stored entries, to send to another router.
 func (r *Registry) Items() []store.Item {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -184,30 +187,31 @@
 	}
 	delete(r.rejected, item.Key)
 	if known == nil {
-		r.found(item, entry)
+		r.add(item, entry)
 		return
 	}
-	if known.server.Restarted(entry) && !known.outdates(entry) {
-		r.leave(known, "restarted")
-		r.found(item, entry)
+	if known.server.Restarted(entry) && !known.supersedes(entry) {
+		r.markLeaving(known, "restarted")
+		r.add(item, entry)
 		return
 	}
 	known.revision, known.item, known.unreadable = item.Revision, item, false
-	known.lapsed = false
-	r.chill(known.server, entry)
+	known.expired = false
+	r.updateCold(known.server, entry)
 	if entry.Draining {
-		r.leave(known, "draining")
+		r.markLeaving(known, "draining")
 	}
 }
 
-// outdates says whether an entry is a late word of a start before the known one, which
-// must not bring back what is leaving.
-func (t *tracked) outdates(e Entry) bool {
+// supersedes reports whether e is a late entry of an earlier server process, which must not
+// bring a leaving server back.
+func (t *tracked) supersedes(e Entry) bool {
 	return t.server.Leaving() && e.StartUnixMilli < t.server.StartUnixMilli
 }
 
-// found takes a server, or a new start of one: nothing of an earlier start is kept.
-func (r *Registry) found(item store.Item, entry Entry) {
+// add registers a new server or a new incarnation of a known one, without any state of an earlier
+// incarnation.
+func (r *Registry) add(item store.Item, entry Entry) {
 	server := NewServer(entry)
 	server.SetEvacuated(r.evacuated[entry.Domain])
 	server.MarkCold(r.now(), entry.Cold)
@@ -217,8 +221,8 @@
 		slog.Int64("cold_ms", entry.Cold.Milliseconds()))
 }
 
-// chill takes what an entry says of a known server that has become cold.
-func (r *Registry) chill(server *Server, entry Entry) {
+// updateCold applies the cold time of a new entry of a known server.
+func (r *Registry) updateCold(server *Server, entry Entry) {
 	now := r.now()
 	if entry.Cold > 0 && server.ColdFor(now) == 0 {
 		r.log.Emit(event.BackendCold, slog.String(event.KeyBackend, entry.ID), slog.Int64("cold_ms", entry.Cold.Milliseconds()))
@@ -226,36 +230,36 @@
 	server.MarkCold(now, entry.Cold)
 }
 
-// SetWarmUp says how to look up how long a service's servers are cold after a start.
+// SetWarmUp sets the function that returns how long a service's servers are cold after a start.
 func (r *Registry) SetWarmUp(warmUp func(service string) time.Duration) {
 	r.warmUp = warmUp
 }
 
-// evacuate closes a failure domain's servers and returns how many there are.
+// evacuate stops new requests to a failure domain's servers and returns how many there are.
 func (r *Registry) evacuate(domain string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.evacuated[domain] = true
-	return r.each(domain, func(s *Server) { s.SetEvacuated(true) })
+	return r.eachInDomain(domain, func(s *Server) { s.SetEvacuated(true) })
 }
 
-// restore opens a failure domain's servers again and returns how many there are. They may
-// have become cold meanwhile, and their entries may tell so only after the order's end is
-// known: a whole domain would get its usual share at once, under which cold servers crash.
-// So they count as cold for as long as after a start.
+// restore allows new requests to a failure domain's servers again and returns how many there
+// are. The servers may have become cold meanwhile, and their entries may report it only after
+// the order is removed. A whole domain would then get its usual share of requests at once, under
+// which cold servers crash. So they count as cold for as long as after a start.
 func (r *Registry) restore(domain string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.evacuated, domain)
 	now := r.now()
-	return r.each(domain, func(s *Server) {
+	return r.eachInDomain(domain, func(s *Server) {
 		s.MarkCold(now, r.warmUp(s.Service))
 		s.SetEvacuated(false)
 	})
 }
 
-// each calls do for a failure domain's servers and returns how many there are.
-func (r *Registry) each(domain string, do func(*Server)) int {
+// eachInDomain calls do for each server of a failure domain and returns how many there are.
+func (r *Registry) eachInDomain(domain string, do func(*Server)) int {
 	servers := 0
 	for _, known := range r.servers {
 		if known.server.Domain == domain {
@@ -266,8 +270,8 @@
 	return servers
 }
 
-// reject takes an entry that names no server: another writer's, or one that was spoiled.
-// The server that the key named before is not used until its entry can be read again.
+// reject handles an entry that can't be decoded. The server that the key named before is not
+// used until the key holds a valid entry again.
 func (r *Registry) reject(item store.Item, known *tracked, cause error) {
 	if known != nil {
 		known.revision, known.item, known.unreadable = item.Revision, item, true
@@ -283,60 +287,60 @@
 	return slices.Collect(maps.Keys(r.servers))
 }
 
-func (r *Registry) missing(key string) {
+func (r *Registry) remove(key string) {
 	delete(r.rejected, key)
 	known := r.servers[key]
 	if known == nil {
 		return
 	}
-	if !r.lapses.lenient() {
+	if !r.grace.active() {
 		r.drop(key, known, "gone")
 		return
 	}
-	if known.lapsed {
+	if known.expired {
 		return
 	}
-	known.lapsed = true
+	known.expired = true
 	now := r.now()
 	r.log.Emit(event.BackendMissing, slog.String(event.KeyBackend, known.server.ID),
-		slog.Int64("silence_ms", r.lapses.silence.Milliseconds()), slog.Int64("returned_ms", now.Sub(r.lapses.returned).Milliseconds()),
-		slog.Int64("kept_ms", r.lapses.until.Sub(now).Milliseconds()))
+		slog.Int64("silence_ms", r.grace.silence.Milliseconds()), slog.Int64("returned_ms", now.Sub(r.grace.returned).Milliseconds()),
+		slog.Int64("kept_ms", r.grace.end.Sub(now).Milliseconds()))
 }
 
-func (r *Registry) drop(key string, known *tracked, how string) {
-	r.leave(known, how)
+func (r *Registry) drop(key string, known *tracked, reason string) {
+	r.markLeaving(known, reason)
 	delete(r.servers, key)
 }
 
-func (r *Registry) leave(known *tracked, how string) {
+func (r *Registry) markLeaving(known *tracked, reason string) {
 	if known.server.Leaving() {
 		return
 	}
 	known.server.MarkLeaving()
-	r.log.Emit(event.BackendLeaving, slog.String(event.KeyBackend, known.server.ID), slog.String("how", how),
-		slog.Int64("revision", int64(known.revision)), slog.Int64("unheard_ms", r.unheard().Milliseconds()))
+	r.log.Emit(event.BackendLeaving, slog.String(event.KeyBackend, known.server.ID), slog.String("how", reason),
+		slog.Int64("revision", int64(known.revision)), slog.Int64("unheard_ms", r.sinceLastAnswer().Milliseconds()))
 }
 
-// unheard is the time since something was heard before, by which this router may know of
-// a change too late at the most.
-func (r *Registry) unheard() time.Duration {
-	if r.heard.IsZero() {
+// sinceLastAnswer returns the time since the previous answer, which bounds how late this router
+// learns of a change.
+func (r *Registry) sinceLastAnswer() time.Duration {
+	if r.lastAnswer.IsZero() {
 		return 0
 	}
-	return r.now().Sub(r.heard)
+	return r.now().Sub(r.lastAnswer)
 }
 
 func (r *Registry) publish() {
 	view := &View{ByService: make(map[string][]*Server)}
 	var due *time.Time
 	for key, known := range r.servers {
-		if known.lapsed && r.reached {
-			if !r.lapses.lenient() {
+		if known.expired && r.reached {
+			if !r.grace.active() {
 				r.drop(key, known, "lapsed")
 				continue
 			}
-			until := r.lapses.until
-			due = &until
+			end := r.grace.end
+			due = &end
 		}
 		if known.server.Leaving() || known.unreadable {
 			continue
@@ -349,10 +353,10 @@
 		sort.Slice(servers, func(i, j int) bool { return servers[i].ID < servers[j].ID })
 	}
 	r.view.Store(view)
-	r.lapseDue.Store(due)
+	r.graceEnd.Store(due)
 }
 
-// LogContact writes that a dependency was lost or regained.
+// LogContact logs that the store has become reachable or unreachable to the watch on what.
 func LogContact(log *event.Log, what string, reached bool, cause error) {
 	if reached {
 		log.Emit(event.StoreReachable, slog.String("follows", what))
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -1,5 +1,4 @@
-// Package fleet keeps what a router knows of the world around it: the backend
-// servers of each service and the other routers.
+// Package fleet tracks the backend servers of each service and the other routers.
 package fleet
 
 import (
@@ -10,134 +9,136 @@
 	"time"
 )
 
-// Entry is what a backend server says of itself in the registry.
+// Entry is a backend server's entry in the registry, written by the server itself.
 type Entry struct {
 	ID string
-	// StartUnixMilli is when the server's process started, in Unix milliseconds; 0: it doesn't
-	// tell. A server may start again under its id: another StartUnixMilli is another server,
-	// which knows nothing of what the earlier one held or was sent.
+	// StartUnixMilli is when the server's process started, in Unix milliseconds; 0 if unknown.
+	// A process that restarts under the same ID counts as another server: it has none of the
+	// earlier one's cached prompts or requests.
 	StartUnixMilli int64
 	Service        string
 	Address        string // IP:port
 	Domain         string // failure domain
-	// Draining servers take nothing new.
+	// Draining is set if the server takes no new requests.
 	Draining bool
-	// Cold is how much longer the server has just started and bears few requests.
+	// Cold is the remaining time in which the server, recently started, can handle only few
+	// requests; zero if it is warm.
 	Cold time.Duration
 }
 
-// Load is a backend server's own count of its work, as one answer carried it.
+// Load is a backend server's count of its own requests, as reported with an answer.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// LimitState is whether an answer names a rate limit.
+// LimitState says whether an answer states a rate limit.
 type LimitState int
 
 const (
-	// LimitAbsent: it names none.
+	// LimitAbsent means that the answer states no limit.
 	LimitAbsent LimitState = iota
-	// LimitPresent: it names one.
+	// LimitPresent means that the answer states a valid limit.
 	LimitPresent
-	// LimitInvalid: it names something that is no rate, which tells nothing.
+	// LimitInvalid means that the stated limit is not a valid rate and is ignored.
 	LimitInvalid
 )
 
-// RateLimit is what one answer of a backend server says of the requests that the server
-// takes from all routers together.
+// RateLimit is the limit that an answer of a backend server states for requests from all
+// routers together.
 type RateLimit struct {
 	State LimitState
 	// PerSecond is the limit in requests per second, zero or more; set only if State is LimitPresent.
 	PerSecond float64
 }
 
-// Server is a backend server as this router knows it. The entry never changes;
-// the rest is shared by all requests.
+// Server is a backend server as this router knows it. Entry and Incarnation are immutable; the
+// methods are safe for concurrent use.
 type Server struct {
 	Entry
-	// Incarnation names this one start of the server among all starts of all servers. What is
-	// believed of a server is kept by it, not by the id: load, parts read and idle
-	// connections of an earlier start must not be taken for this one's.
+	// Incarnation uniquely names this process of the server among all processes of all servers.
+	// State about a server is kept under its incarnation, not its ID: load, cached prompts and
+	// idle connections of an earlier process must not be attributed to this one.
 	Incarnation string
 
 	leaving   atomic.Bool
 	evacuated atomic.Bool
-	// coldUntil is when it stops being cold; nil: it is warm.
+	// coldUntil is when the server stops being cold; nil if it is warm.
 	coldUntil atomic.Pointer[time.Time]
 
-	mu          sync.Mutex
-	load        Load
-	loadAt      time.Time
-	outstanding int     // own requests in hand
-	sinceLoad   int     // own requests in hand that the last load report may not count
-	prefill     float64 // own prompt tokens sent and not yet answered
-	failures    int     // failures in a row
-	avoidUntil  time.Time
+	mu           sync.Mutex
+	load         Load
+	loadAt       time.Time
+	outstanding  int     // this router's requests in progress
+	sinceLoad    int     // those that the last load report may not count
+	prefill      float64 // this router's prompt tokens sent and not yet answered
+	failures     int     // consecutive failures
+	backoffUntil time.Time
 }
 
-// NewServer makes a server from its entry.
+// NewServer returns a server for an entry.
 func NewServer(e Entry) *Server {
 	s := &Server{Entry: e, Incarnation: e.ID + "@" + e.Address + "@" + strconv.FormatInt(e.StartUnixMilli, 10)}
 	s.leaving.Store(e.Draining)
 	return s
 }
 
-// ServerID is the id of the server that a Start names.
-func ServerID(start string) string {
-	for range 2 { // of address and birth
-		if at := strings.LastIndexByte(start, '@'); at >= 0 {
-			start = start[:at]
+// ServerID returns the ID of the server that an incarnation belongs to.
+func ServerID(incarnation string) string {
+	for range 2 { // cut off start time and address
+		if at := strings.LastIndexByte(incarnation, '@'); at >= 0 {
+			incarnation = incarnation[:at]
 		}
 	}
-	return start
+	return incarnation
 }
 
-// Restarted says whether an entry of the same id tells of another start, or of another
-// server that took the id over.
+// Restarted reports whether e, an entry with the same ID, is of another process of the server, or
+// of another server that took over the ID.
 func (s *Server) Restarted(e Entry) bool {
 	return e.StartUnixMilli != s.StartUnixMilli || e.Address != s.Address || e.Service != s.Service
 }
 
-// Leaving says whether the server is draining or gone: it gets nothing new.
+// Leaving reports whether the server is draining or gone and must get no new requests.
 func (s *Server) Leaving() bool {
 	return s.leaving.Load()
 }
 
-// MarkLeaving marks the server as draining or gone. It is never taken back: an entry
-// that were ready again after it drained would be an old one.
+// MarkLeaving marks the server as draining or gone. The mark is permanent: an entry that says
+// otherwise after the server began to drain is an older one.
 func (s *Server) MarkLeaving() {
 	s.leaving.Store(true)
 }
 
-// Evacuated says whether operators ordered that the server's failure domain gets nothing
-// new for now.
+// Evacuated reports whether operators have ordered the server's failure domain evacuated.
 func (s *Server) Evacuated() bool {
 	return s.evacuated.Load()
 }
 
-// SetEvacuated notes that the server's failure domain is evacuated, or is not any more.
+// SetEvacuated sets whether the server's failure domain is evacuated.
 func (s *Server) SetEvacuated(evacuated bool) {
 	s.evacuated.Store(evacuated)
 }
 
-// Ineligible says whether the server gets nothing new at all.
+// Ineligible reports whether the server must get no new requests, because it is leaving or
+// evacuated.
 func (s *Server) Ineligible() bool {
 	return s.Leaving() || s.Evacuated()
 }
 
-// coldMost bounds what is believed of a server that says for how long it is cold. Servers
-// warm up within seconds, and one that is cold for longer says so again.
-const coldMost = time.Minute
+// maxColdTime caps the cold time that a server reports. Servers warm up within seconds, and one
+// that stays cold for longer reports it again.
+const maxColdTime = time.Minute
 
-// MarkCold notes that the server is cold for some time from now on. Of several sources the
-// worst counts, so it never shortens what is known; zero or less changes nothing.
+// MarkCold marks the server as cold for the given time from now. If several sources report
+// different times the longest counts: MarkCold never shortens the cold time, and a value of zero
+// or less has no effect.
 func (s *Server) MarkCold(now time.Time, cold time.Duration) {
 	if cold <= 0 {
 		return
 	}
-	until := now.Add(min(cold, coldMost))
+	until := now.Add(min(cold, maxColdTime))
 	for {
 		known := s.coldUntil.Load()
 		if known != nil && !until.After(*known) || s.coldUntil.CompareAndSwap(known, &until) {
@@ -146,7 +147,7 @@
 	}
 }
 
-// ColdFor is how much longer the server is cold, as far as is known; zero: it is warm.
+// ColdFor returns how much longer the server is cold, as far as known; zero if it is warm.
 func (s *Server) ColdFor(now time.Time) time.Duration {
 	until := s.coldUntil.Load()
 	if until == nil {
@@ -155,8 +156,8 @@
 	return max(0, until.Sub(now))
 }
 
-// BeginRequest counts a request that is being sent, with the prompt tokens that the
-// server will have to read for it.
+// BeginRequest counts a request that is being sent, with the number of prompt tokens that the
+// server has to process for it.
 func (s *Server) BeginRequest(prefill float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,14 +166,14 @@
 	s.prefill += prefill
 }
 
-// Answered takes away the prompt tokens of a request whose answer has begun.
+// Answered subtracts the prompt tokens of a request whose answer has begun.
 func (s *Server) Answered(prefill float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.prefill = max(0, s.prefill-prefill)
 }
 
-// EndRequest counts a request as no longer in hand.
+// EndRequest counts a request as finished.
 func (s *Server) EndRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,53 +181,53 @@
 	s.sinceLoad = max(0, s.sinceLoad-1)
 }
 
-// SetLoad takes a load that an answer carried.
+// SetLoad records the load that the server reported with an answer.
 func (s *Server) SetLoad(l Load, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.load, s.loadAt, s.sinceLoad = l, now, 0
 }
 
-// First and longest time that a server is avoided after it failed. The first is
-// about a crashed process's restart; the longest keeps a server that is back
-// after an outage of some seconds from idling much longer.
+// Shortest and longest backoff of a server after failures. minBackoff is about the time that a
+// crashed process takes to restart; maxBackoff keeps a server that is back after an outage of
+// some seconds from idling much longer.
 const (
-	avoidFirst = 300 * time.Millisecond
-	avoidMost  = 2 * time.Second
+	minBackoff = 300 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
-// RecordFailure notes that an exchange broke or could not begin. The server is avoided
-// for a while that doubles with each failure in a row.
+// RecordFailure records that an exchange with the server broke off or could not begin. The
+// server is avoided for a time that doubles with each consecutive failure.
 func (s *Server) RecordFailure(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	wait := avoidFirst << min(s.failures, 4)
+	wait := minBackoff << min(s.failures, 4)
 	s.failures++
-	s.avoidUntil = now.Add(min(wait, avoidMost))
+	s.backoffUntil = now.Add(min(wait, maxBackoff))
 }
 
-// RecordSuccess notes a whole answer.
+// RecordSuccess records a complete answer and ends the backoff.
 func (s *Server) RecordSuccess() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failures = 0
-	s.avoidUntil = time.Time{}
+	s.backoffUntil = time.Time{}
 }
 
-// Status is a server's state at one moment, for the choice between servers.
+// Status is a server's state at one moment, used to choose between servers.
 type Status struct {
 	Outstanding int
-	Running     int     // estimate: own and others' requests
-	Prefill     float64 // own prompt tokens not yet read
+	Running     int     // estimated number of all routers' requests
+	Prefill     float64 // this router's prompt tokens sent and not yet answered
 	InBackoff   bool
 	Failures    int
 }
 
-// loadFresh bounds the age of a load report that counts: a request takes about
-// this long, so an older report says nothing of what runs now.
-const loadFresh = 1500 * time.Millisecond
+// maxLoadAge is the age up to which a load report is used. A request takes about this long, so
+// an older report says nothing about the requests that run now.
+const maxLoadAge = 1500 * time.Millisecond
 
-// Status returns the state now.
+// Status returns the server's state at now.
 func (s *Server) Status(now time.Time) Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,10 +235,10 @@
 		Outstanding: s.outstanding,
 		Running:     s.outstanding,
 		Prefill:     s.prefill,
-		InBackoff:   now.Before(s.avoidUntil),
+		InBackoff:   now.Before(s.backoffUntil),
 		Failures:    s.failures,
 	}
-	if !s.loadAt.IsZero() && now.Sub(s.loadAt) < loadFresh {
+	if !s.loadAt.IsZero() && now.Sub(s.loadAt) < maxLoadAge {
 		status.Running = max(s.outstanding, s.load.Running+s.load.Waiting+s.sinceLoad)
 	}
 	return status
