--- a/internal/escrow/gather.go
+++ b/internal/escrow/gather.go
@@ -67,8 +67,8 @@
 
 // requestGather orders tokens from a router that holds some, or says that this is under way; false:
 // nobody else has any. The keeper is locked.
-func (m *GrantManager) requestGather(h *pendingReservation) bool {
-	p := h.grant
+func (m *GrantManager) requestGather(r *pendingReservation) bool {
+	p := r.grant
 	if p.gathering {
 		return true
 	}
@@ -80,7 +80,7 @@
 		return false
 	}
 	p.gathering = true
-	tokens := max(h.missing, int64(p.rate*gatherHorizon.Seconds()))
+	tokens := max(r.missing, int64(p.rate*gatherHorizon.Seconds()))
 	m.pendingGatherings = append(m.pendingGatherings, gathering{grant: p, vm: vm, address: address, tokens: tokens})
 	select {
 	case m.gatherDue <- struct{}{}:
--- a/internal/escrow/holders.go
+++ b/internal/escrow/holders.go
@@ -12,55 +12,59 @@
 	"chicorytiller.example/chicorytiller/internal/event"
 )
 
-// An account's grant is held by few routers for all: its home, and while that has no contact
-// with the store, the first of its standbys that has. All others ask those and don't write
-// the record: the writes of a record don't grow with the routers, nor race for it.
-
-// MaxHolders is how many routers are ranked for an account. That the store refuses all of
-// them and not the others is rare.
+// Each account has a few holders, ranked: routers that draw tokens from its budget record on
+// behalf of all routers. The first is the account's home. While the home can't reach the
+// store, the first of the others (its standbys) that can reach it draws instead. All other
+// routers borrow from the holders and don't write the record, so the number of writes doesn't
+// grow with the number of routers, and writes rarely conflict.
+
+// MaxHolders is the number of routers ranked as holders of an account. It is rare that none of
+// them can reach the store while other routers can.
 const MaxHolders = 6
 
-// role is what a router is for an account.
+// role is the part that a router plays for an account.
 type role int
 
 const (
-	// borrower: it asks the account's holders.
+	// borrower borrows tokens from the account's holders.
 	borrower role = iota
-	// standby: it was asked of late to hold for those who find no home in contact.
+	// standby was recently asked for tokens by routers whose home is unavailable, and draws
+	// on their behalf.
 	standby
-	// home holds the account's grant for all.
+	// home draws on behalf of all routers.
 	home
 )
 
 const (
-	// standbyTimeout is how long a router goes on holding after it was last asked.
+	// standbyTimeout is how long a router stays a standby after it was last asked for tokens.
 	standbyTimeout = 2 * time.Second
-	// standbyHorizon is how much of the use seen there a standby holds: it writes once in
-	// that time, and what it holds would be out of reach if it were lost as well.
+	// standbyHorizon is how long a standby's grant should last at its current rate of use. It
+	// writes the record once in that time. The horizon is short because the grant becomes
+	// unavailable if the standby fails too.
 	standbyHorizon = 2 * time.Second
 )
 
-// Shortage says why a router could not give all the tokens that it was asked for.
+// Shortage is the reason why a router lent fewer tokens than it was asked for.
 type Shortage int
 
 const (
-	// NoShortage: it gave all.
+	// NoShortage: it lent all tokens.
 	NoShortage Shortage = iota
-	// PeerUnreachable: it didn't answer.
+	// PeerUnreachable: it did not answer.
 	PeerUnreachable
-	// DrawPending: it waits for a draw longer than the borrower's call may take.
+	// DrawPending: its draw takes longer than the borrower's call may last.
 	DrawPending
-	// StoreUnreachable: it has no contact with the store and could not draw.
+	// StoreUnreachable: it can't reach the store and could not draw.
 	StoreUnreachable
-	// HeldElsewhere: all is granted, and some of it may come back.
+	// HeldElsewhere: the whole budget is granted; some of it may be returned unused.
 	HeldElsewhere
-	// InDoubt: the rest may have been spent by routers that died.
+	// InDoubt: the rest of the budget may have been spent by routers that died.
 	InDoubt
-	// Exhausted: the rest surely doesn't cover the request.
+	// Exhausted: the rest of the budget does not cover the request.
 	Exhausted
 )
 
-// err is what a reservation ends with for want of tokens.
+// err returns the error of a reservation that fails for this reason.
 func (s Shortage) err() error {
 	switch s {
 	case DrawPending, HeldElsewhere:
@@ -73,12 +77,12 @@
 	return ErrUnreachable
 }
 
-// canDraw says whether the router could have drawn if there were more to draw.
+// canDraw reports whether the router could have drawn tokens if the budget had any left.
 func (s Shortage) canDraw() bool {
 	return s == DrawPending || s == HeldElsewhere || s == InDoubt || s == Exhausted
 }
 
-// shortageOf is what a lender tells of an error.
+// shortageOf returns the reason that a lender reports for an error.
 func shortageOf(err error) Shortage {
 	switch {
 	case err == nil:
@@ -93,14 +97,14 @@
 	return StoreUnreachable
 }
 
-// roleOf is this router's role for an account.
+// roleOf returns this router's role for an account.
 func (m *GrantManager) roleOf(account string) role {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.role(m.grant(account))
 }
 
-// role is the same; the keeper is locked.
+// role is roleOf for callers that hold m.mu.
 func (m *GrantManager) role(p *grant) role {
 	switch {
 	case m.o.Home(p.account) == "":
@@ -111,47 +115,50 @@
 	return borrower
 }
 
-// maxDrawPendingTries is how often one that is drawing is asked for a request: a store that takes
-// half a second for a write is waited for, and no second router draws beside it.
+// maxDrawPendingTries is how often a request asks a holder whose draw is pending. It is enough
+// to wait for a store that takes half a second for a write, instead of having a second router
+// draw at the same time.
 const maxDrawPendingTries = 5
 
-// holderBackoff is how long a holder that had no contact with the store is left out.
+// holderBackoff is how long a holder is skipped after it was unreachable or could not reach
+// the store.
 const holderBackoff = time.Second
 
-// borrowFromHolders gets what is missing from the account's holders, in their order, up to
-// the first that can draw. It says what that one lacked; inContact is false if none can.
-func (m *GrantManager) borrowFromHolders(ctx context.Context, h *pendingReservation) (short Shortage, canDraw bool) {
-	addresses, unavailableHome := m.holdersToAsk(h.grant.account)
+// borrowFromHolders borrows the missing tokens from the account's holders, by rank, up to the
+// first that can draw. It returns the shortage of the last holder asked; canDraw is false if
+// no holder can draw.
+func (m *GrantManager) borrowFromHolders(ctx context.Context, r *pendingReservation) (short Shortage, canDraw bool) {
+	addresses, unavailableHome := m.holdersToAsk(r.grant.account)
 	for _, address := range addresses {
-		short = m.borrowFrom(ctx, h, address)
+		short = m.borrowFrom(ctx, r, address)
 		for tries := 1; short == DrawPending && tries < maxDrawPendingTries && ctx.Err() == nil; tries++ {
-			short = m.borrowFrom(ctx, h, address)
+			short = m.borrowFrom(ctx, r, address)
 		}
-		if canDraw = short.canDraw(); canDraw || h.missing == 0 {
+		if canDraw = short.canDraw(); canDraw || r.missing == 0 {
 			break
 		}
 	}
-	if h.missing > 0 && unavailableHome != "" {
-		m.borrowFrom(ctx, h, unavailableHome)
+	if r.missing > 0 && unavailableHome != "" {
+		m.borrowFrom(ctx, r, unavailableHome)
 	}
 	return short, canDraw
 }
 
-// borrowFrom asks one holder.
-func (m *GrantManager) borrowFrom(ctx context.Context, h *pendingReservation, address string) Shortage {
-	loan := m.o.Peers.BorrowFrom(ctx, address, h.grant.account, h.missing, h.waiterID)
-	h.received(loan.Tokens)
-	// A request whose time is over tells nothing of whom it asked.
+// borrowFrom borrows the missing tokens from one holder.
+func (m *GrantManager) borrowFrom(ctx context.Context, r *pendingReservation, address string) Shortage {
+	loan := m.o.Peers.BorrowFrom(ctx, address, r.grant.account, r.missing, r.waiterID)
+	r.received(loan.Tokens)
+	// If the request was cancelled or timed out, the failure says nothing about the holder.
 	if ctx.Err() == nil && (loan.Short == PeerUnreachable || loan.Short == StoreUnreachable) {
 		m.markUnavailable(address)
 	}
 	return loan.Short
 }
 
-// holdersToAsk are the addresses of the account's holders that this router asks: those that
-// rank before it, and all others too while it can't draw itself. One that lately had no
-// contact with the store is left out, but for the home, which still holds a grant: it is
-// asked after the others.
+// holdersToAsk returns the addresses of the account's holders to borrow from: those that rank
+// above this router, and also those below it while it can't draw itself. Holders that were
+// recently unavailable are left out. If the home is among them it is returned separately: it
+// still holds a grant and is asked last.
 func (m *GrantManager) holdersToAsk(account string) (addresses []string, unavailableHome string) {
 	for i, address := range m.o.Holders(account) {
 		switch {
@@ -180,13 +187,13 @@
 	m.holderDownAt[address] = m.o.Clock().Steady
 }
 
-// lastResortInterval is the mean time between two draws of a router that ranks nowhere, when none of
-// the account's holders can draw. All routers are in that case at once, so each waits for a
-// random time around it, and who is refused meanwhile is told to come back.
+// lastResortInterval is the mean time between two draws of a router that is not a holder, while
+// no holder can draw. All routers are in that state at once, so the time is randomized; requests
+// refused in between are told to retry.
 const lastResortInterval = time.Second
 
-// mayDraw says whether this router may draw for a request: as one of the account's holders,
-// or once in a while as a last resort.
+// mayDraw reports whether this router may draw for a request: either it is one of the account's
+// holders, or a draw of last resort is due.
 func (m *GrantManager) mayDraw(p *grant) bool {
 	isHolder := slices.Contains(m.o.Holders(p.account), "")
 	m.mu.Lock()
@@ -206,33 +213,34 @@
 	return true
 }
 
-// recentLoanWindow is how long tokens that were lent count as possibly unused, up to twice: the
-// borrower hands back with its next sweep what a request has left. With seconds of it, small
-// requests of a used up budget were told to come back soon, again and again.
+// recentLoanWindow is the length of a window of recentLoans. Tokens lent in the current or
+// previous window may still be unused: the borrower returns what a request leaves with its next
+// sweep. With a window of seconds, small requests on an exhausted budget were told to retry
+// again and again.
 const recentLoanWindow = sweepInterval
 
-// shortageError says why the record can't give what is missing, as far as that is known here. The
-// keeper is locked.
-func (m *GrantManager) shortageError(h *pendingReservation) error {
-	p := h.grant
+// shortageError returns why the record can't cover the missing tokens, as far as this router
+// knows. The caller holds m.mu.
+func (m *GrantManager) shortageError(r *pendingReservation) error {
+	p := r.grant
 	prepaid := m.o.Budgets()[p.account]
-	// What others drew themselves counts as far as they or the record tell.
-	used := p.used() - (h.tokens - h.missing) + m.spentElsewhere(p)
+	// Tokens spent by other routers count as far as their reports or the record show them.
+	used := p.used() - (r.tokens - r.missing) + m.spentElsewhere(p)
 	left := prepaid - used + p.recentlyLent.sum(m.o.Clock().Steady)
 	inDoubt := p.record.Closed - p.record.ClosedSpent
 	err := ErrContended
 	switch {
-	case left < h.tokens:
+	case left < r.tokens:
 		err = ErrExhausted
-	case left-inDoubt < h.tokens:
+	case left-inDoubt < r.tokens:
 		err = ErrInDoubt
 	}
 	m.logShortage(p, prepaid, used, left, err)
 	return err
 }
 
-// logShortage tells of a budget that can't give what is asked for, once a second. The keeper
-// is locked.
+// logShortage logs that a budget can't cover a request, at most once a second. The caller
+// holds m.mu.
 func (m *GrantManager) logShortage(p *grant, prepaid, used, left int64, cause error) {
 	if !p.shortageLog.due(m.o.Clock().Steady) {
 		return
@@ -243,7 +251,7 @@
 		slog.Int64("revision", p.revision), slog.Any(event.KeyCause, cause), slog.Int("unlogged", p.shortageLog.take()))
 }
 
-// recentLoans sums up the tokens lent in the present recentLoanWindow and the one before it.
+// recentLoans counts the tokens lent in the current recentLoanWindow and the one before it.
 type recentLoans struct {
 	windowStart   time.Duration
 	now, previous int64
@@ -268,45 +276,45 @@
 	}
 }
 
-// emptyBorrowBackoff is how long other routers are not asked again for an account of which they
-// had nothing. Each request of an outage asked up to twelve of them.
+// emptyBorrowBackoff is how long borrowFromPeers is not repeated for an account after no router
+// had tokens of it. Without it, each request during an outage asked up to twelve routers.
 const emptyBorrowBackoff = 250 * time.Millisecond
 
-// borrowFromPeers gets what is missing from any other routers, where no holder has contact with the
-// store.
-func (m *GrantManager) borrowFromPeers(ctx context.Context, h *pendingReservation) error {
-	if !m.mayBorrow(h.grant) {
+// borrowFromPeers borrows the missing tokens from any other routers, for use while no holder can
+// reach the store.
+func (m *GrantManager) borrowFromPeers(ctx context.Context, r *pendingReservation) error {
+	if !m.mayBorrow(r.grant) {
 		return ErrUnreachable
 	}
-	missing := h.missing
-	received, used := m.o.Peers.Borrow(ctx, h.grant.account, missing)
-	h.received(received)
+	missing := r.missing
+	received, used := m.o.Peers.Borrow(ctx, r.grant.account, missing)
+	r.received(received)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	record := h.grant.record
-	prepaid := m.o.Budgets()[h.grant.account]
-	if received > 0 || h.grant.shortageLog.due(m.o.Clock().Steady) {
-		m.o.Log.Emit(event.TokensBorrowed, slog.String(event.KeyBudget, h.grant.account), slog.Int64("missing", missing),
+	record := r.grant.record
+	prepaid := m.o.Budgets()[r.grant.account]
+	if received > 0 || r.grant.shortageLog.due(m.o.Clock().Steady) {
+		m.o.Log.Emit(event.TokensBorrowed, slog.String(event.KeyBudget, r.grant.account), slog.Int64("missing", missing),
 			slog.Int64(event.KeyTokens, received), slog.Int64("prepaid", prepaid), slog.Int64("given", record.TotalGranted()),
 			slog.Int64("closed", record.Closed), slog.Int64("used", used), slog.Any(event.KeyCause, ErrUnreachable),
-			slog.Int("unlogged", h.grant.shortageLog.take()))
+			slog.Int("unlogged", r.grant.shortageLog.take()))
 	}
-	if h.missing == 0 {
+	if r.missing == 0 {
 		return nil
 	}
 	if received == 0 {
-		h.grant.emptyBorrowAt = m.o.Clock().Steady
+		r.grant.emptyBorrowAt = m.o.Clock().Steady
 	}
-	// All that is surely used, with reservations at their most. What nobody could
-	// tell of may still come back, so that is no reason to say exhausted.
-	used += h.grant.used() - (h.tokens - h.missing)
-	if prepaid-used-record.ClosedSpent < h.tokens {
+	// Counts only confirmed use, with reservations in full. Tokens that no router accounted
+	// for may still be returned, so they are no reason to report the budget as exhausted.
+	used += r.grant.used() - (r.tokens - r.missing)
+	if prepaid-used-record.ClosedSpent < r.tokens {
 		return ErrExhausted
 	}
 	return ErrUnreachable
 }
 
-// mayBorrow says whether other routers may have something.
+// mayBorrow reports whether emptyBorrowBackoff has passed.
 func (m *GrantManager) mayBorrow(p *grant) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/escrow/lend.go
+++ b/internal/escrow/lend.go
@@ -29,21 +29,21 @@
 // and keeps its place in the queue while the store is away. Without one, what nobody waits
 // for is given, and nothing is drawn.
 func (m *GrantManager) Lend(account string, tokens int64, waiterID string) Loan {
-	h := m.newPendingReservation(account, tokens, waiterID != "", waiterID)
+	r := m.newPendingReservation(account, tokens, waiterID != "", waiterID)
 	loan := Loan{}
 	if waiterID != "" {
-		m.refreshStandby(h.grant)
-		loan.Short = m.drawForLoan(h)
+		m.refreshStandby(r.grant)
+		loan.Short = m.drawForLoan(r)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	loan.Tokens = h.tokens - h.missing
-	h.grant.reserved -= loan.Tokens
-	loan.Used = h.grant.used()
-	h.grant.lent += loan.Tokens
-	loan.Spent = h.grant.netSpent() - h.grant.recentlyLent.sum(m.o.Clock().Steady)
-	h.grant.usedSinceRateUpdate += loan.Tokens
-	h.grant.recentlyLent.add(loan.Tokens, m.o.Clock().Steady)
+	loan.Tokens = r.tokens - r.missing
+	r.grant.reserved -= loan.Tokens
+	loan.Used = r.grant.used()
+	r.grant.lent += loan.Tokens
+	loan.Spent = r.grant.netSpent() - r.grant.recentlyLent.sum(m.o.Clock().Steady)
+	r.grant.usedSinceRateUpdate += loan.Tokens
+	r.grant.recentlyLent.add(loan.Tokens, m.o.Clock().Steady)
 	return loan
 }
 
@@ -55,20 +55,20 @@
 }
 
 // drawForLoan draws what a loan lacks, and says why it still does.
-func (m *GrantManager) drawForLoan(h *pendingReservation) Shortage {
-	if h.missing == 0 {
+func (m *GrantManager) drawForLoan(r *pendingReservation) Shortage {
+	if r.missing == 0 {
 		return NoShortage
 	}
-	if _, known := m.o.Budgets()[h.grant.account]; !known {
+	if _, known := m.o.Budgets()[r.grant.account]; !known {
 		return StoreUnreachable // started a moment ago, without a configuration: it can't tell
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), lendDrawTimeout)
 	defer cancel()
-	err := m.awaitDraw(ctx, h)
+	err := m.awaitDraw(ctx, r)
 	if err == nil {
 		return NoShortage
 	}
-	m.o.Log.Emit(event.LoanShort, slog.String(event.KeyBudget, h.grant.account), slog.Int64("missing", h.missing), slog.Any(event.KeyCause, err))
+	m.o.Log.Emit(event.LoanShort, slog.String(event.KeyBudget, r.grant.account), slog.Int64("missing", r.missing), slog.Any(event.KeyCause, err))
 	short := shortageOf(err)
 	if short == StoreUnreachable && !m.isStoreDown() {
 		return DrawPending
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -8,64 +8,63 @@
 	"github.com/pkg/errors"
 )
 
-// Reserve sets tokens aside: out of what is here, else from the routers that hold the
-// account's grant for all, else by a draw of its own. While the store is away for all, it
-// asks all other routers: what one lacks lies unused at another.
+// Reserve sets tokens aside: from this router's own grant if it suffices, else borrowed from the
+// account's holders, else by a draw of its own. While no holder can reach the store, it borrows
+// from any other router that has unused tokens.
 func (m *GrantManager) Reserve(ctx context.Context, account string, tokens int64) (*Reservation, error) {
-	h := m.newPendingReservation(account, tokens, m.roleOf(account) == home, "")
-	err := m.acquire(ctx, h)
+	r := m.newPendingReservation(account, tokens, m.roleOf(account) == home, "")
+	err := m.acquire(ctx, r)
 	for errors.Is(err, ErrUnreachable) && m.allowanceGrowsSoon() && sleep(ctx, outageRetryInterval) {
-		err = m.retry(ctx, h)
+		err = m.retry(ctx, r)
 	}
 	m.trackIsolation(errors.Is(err, ErrUnreachable))
 	if err != nil {
-		h.release()
+		r.release()
 		return nil, err
 	}
-	return h.reservation(), nil
+	return r.reservation(), nil
 }
 
-// acquire fills a hold, or says why it can't be.
-func (m *GrantManager) acquire(ctx context.Context, h *pendingReservation) error {
-	if h.missing == 0 {
+// acquire gets the missing tokens of a reservation, or returns why it can't.
+func (m *GrantManager) acquire(ctx context.Context, r *pendingReservation) error {
+	if r.missing == 0 {
 		return nil
 	}
-	short, canDraw := m.borrowFromHolders(ctx, h)
-	if h.missing == 0 {
+	short, canDraw := m.borrowFromHolders(ctx, r)
+	if r.missing == 0 {
 		return nil
 	}
 	if canDraw {
-		return short.err() // one that can draw has no more: nobody has
+		return short.err() // the holder can draw and the budget has no more: no router has
 	}
-	if m.mayDraw(h.grant) {
-		if err := m.awaitDraw(ctx, h); !errors.Is(err, ErrUnreachable) {
+	if m.mayDraw(r.grant) {
+		if err := m.awaitDraw(ctx, r); !errors.Is(err, ErrUnreachable) {
 			return err
 		}
 	}
 	if ctx.Err() != nil {
 		return ErrUnreachable
 	}
-	return m.borrowFromPeers(ctx, h)
+	return m.borrowFromPeers(ctx, r)
 }
 
-// outageRetryInterval is how often a reservation that waits for the opening tries again, and
-// outageRetryWindow the time after which waiting is left to the caller.
+// outageRetryInterval is the time between retries of a reservation at the start of an outage.
+// Retries stop outageRetryWindow after outageGrace; waiting longer is up to the caller.
 const (
 	outageRetryInterval = 120 * time.Millisecond
 	outageRetryWindow   = 1500 * time.Millisecond
 )
 
-// allowanceGrowsSoon says whether the store has been away for so short a time that what is
-// held beyond the ceilings opens while a caller waits. Ceilings are low, so that
-// little is lost with a router that dies; the first seconds of an outage are
-// bridged by waiting.
+// allowanceGrowsSoon reports whether the outage of the store is so recent that routers may soon
+// spend beyond their ceilings. Ceilings are low, so that little is lost when a router dies;
+// in the first seconds of an outage reservations wait instead.
 func (m *GrantManager) allowanceGrowsSoon() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.storeDown && m.contactAge() < outageGrace+outageRetryWindow
 }
 
-// sleep waits; false if ctx ended first.
+// sleep pauses for d. It returns false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -75,25 +74,25 @@
 	}
 }
 
-// retry tries to fill a hold from here and from the account's holders.
-func (m *GrantManager) retry(ctx context.Context, h *pendingReservation) error {
+// retry gets the missing tokens from this router's own grant and from the account's holders.
+func (m *GrantManager) retry(ctx context.Context, r *pendingReservation) error {
 	m.mu.Lock()
-	h.fill()
+	r.fill()
 	m.mu.Unlock()
-	if h.missing > 0 {
-		m.borrowFromHolders(ctx, h)
+	if r.missing > 0 {
+		m.borrowFromHolders(ctx, r)
 	}
-	if h.missing > 0 {
+	if r.missing > 0 {
 		return ErrUnreachable
 	}
 	return nil
 }
 
-// isolationThreshold is how many reservations in a row find neither the store nor tokens
-// at other routers before this router counts as isolated.
+// isolationThreshold is the number of consecutive reservations that must fail with
+// ErrUnreachable before this router counts as isolated.
 const isolationThreshold = 3
 
-// trackIsolation counts reservations that found nobody.
+// trackIsolation counts the consecutive reservations that failed with ErrUnreachable.
 func (m *GrantManager) trackIsolation(isolated bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -104,27 +103,28 @@
 	m.isolated++
 }
 
-// Isolated says whether this router can't pay for requests while others may: it is
-// cut off from the store and from them. Callers are better served elsewhere.
+// Isolated reports whether this router is cut off from the store and from tokens of other
+// routers. Other routers may still be able to serve its callers.
 func (m *GrantManager) Isolated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.storeDown && m.isolated >= isolationThreshold
 }
 
-// pendingReservation is a reservation that is being put together. What it has is set aside at
-// once: else requests that come meanwhile take it, and all of them come up short.
+// pendingReservation is a reservation that may still lack tokens. The tokens that it has are
+// reserved at once: otherwise concurrent requests would take them, and none would get enough.
 type pendingReservation struct {
 	keeper  *GrantManager
 	grant   *grant
 	tokens  int64
 	missing int64
-	// queued: while the store is away it is served whole and in its turn.
+	// queued means that during an outage the reservation takes a place in the account's queue.
 	queued   bool
-	waiterID string // its name in a queue
+	waiterID string // identifies it in the queue
 }
 
-// newPendingReservation puts a hold together out of what is here. Without a name it gets one.
+// newPendingReservation starts a reservation with what this router's own grant can give. It
+// generates a waiter ID if waiterID is empty.
 func (m *GrantManager) newPendingReservation(account string, tokens int64, queued bool, waiterID string) *pendingReservation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -132,63 +132,66 @@
 		m.lastWaiterID++
 		waiterID = m.o.Incarnation + "/" + strconv.FormatInt(m.lastWaiterID, 10)
 	}
-	h := &pendingReservation{keeper: m, grant: m.grant(account), tokens: tokens, missing: tokens, queued: queued, waiterID: waiterID}
-	h.fill()
-	if _, short := h.grant.nextCeiling(h.grant.granted, m.o.Budgets()[account], m.role(h.grant), m.roundTrip); short {
+	r := &pendingReservation{keeper: m, grant: m.grant(account), tokens: tokens, missing: tokens, queued: queued, waiterID: waiterID}
+	r.fill()
+	if _, short := r.grant.nextCeiling(r.grant.granted, m.o.Budgets()[account], m.role(r.grant), m.roundTrip); short {
 		m.wakeUp()
 	}
-	return h
+	return r
 }
 
-// fill takes from the grant what it can. The keeper is locked.
-func (h *pendingReservation) fill() {
-	available := h.grant.available(h.keeper.contactAge())
-	if h.keeper.storeDown {
-		available = h.outageShare(available)
+// fill reserves as many of the missing tokens as the grant can give. The caller holds the
+// manager's mu.
+func (r *pendingReservation) fill() {
+	available := r.grant.available(r.keeper.contactAge())
+	if r.keeper.storeDown {
+		available = r.outageShare(available)
 	}
-	taken := max(0, min(h.missing, available))
-	h.grant.reserved += taken
-	h.missing -= taken
+	taken := max(0, min(r.missing, available))
+	r.grant.reserved += taken
+	r.missing -= taken
 }
 
-// outageShare is what the hold may take of what is available while the store is away: all it
-// needs once it is its turn, or, without a place in the queue, what nobody waits for.
-func (h *pendingReservation) outageShare(available int64) int64 {
-	now := h.keeper.o.Clock().Steady
-	if !h.queued {
-		return available - h.grant.queue.waitingTokens(now)
+// outageShare returns how many of the available tokens the reservation may take during an
+// outage: a queued one takes all that it needs once it is admitted, any other only what the
+// queue doesn't wait for.
+func (r *pendingReservation) outageShare(available int64) int64 {
+	now := r.keeper.o.Clock().Steady
+	if !r.queued {
+		return available - r.grant.queue.waitingTokens(now)
 	}
-	if h.missing == 0 || !h.grant.queue.admit(h.waiterID, h.missing, available, now) {
+	if r.missing == 0 || !r.grant.queue.admit(r.waiterID, r.missing, available, now) {
 		return 0
 	}
-	return h.missing
+	return r.missing
 }
 
-// received adds what another router gave.
-func (h *pendingReservation) received(tokens int64) {
-	h.keeper.mu.Lock()
-	defer h.keeper.mu.Unlock()
-	h.grant.borrowed += tokens
-	h.grant.reserved += min(tokens, h.missing)
-	h.missing -= min(tokens, h.missing)
+// received adds tokens that another router lent. Those beyond the missing ones become available
+// to other requests.
+func (r *pendingReservation) received(tokens int64) {
+	r.keeper.mu.Lock()
+	defer r.keeper.mu.Unlock()
+	r.grant.borrowed += tokens
+	r.grant.reserved += min(tokens, r.missing)
+	r.missing -= min(tokens, r.missing)
 }
 
-func (h *pendingReservation) release() {
-	h.keeper.mu.Lock()
-	defer h.keeper.mu.Unlock()
-	h.grant.reserved -= h.tokens - h.missing
+func (r *pendingReservation) release() {
+	r.keeper.mu.Lock()
+	defer r.keeper.mu.Unlock()
+	r.grant.reserved -= r.tokens - r.missing
 }
 
-func (h *pendingReservation) reservation() *Reservation {
-	return &Reservation{keeper: h.keeper, grant: h.grant, tokens: h.tokens}
+func (r *pendingReservation) reservation() *Reservation {
+	return &Reservation{keeper: r.keeper, grant: r.grant, tokens: r.tokens}
 }
 
-// minDrawTimeout is how long a reservation waits for a draw at least before it asks other
-// routers: two rounds with a store in good health, with their pauses. That the store is away
-// shows only after callTimeout.
+// minDrawTimeout is the shortest time that a reservation waits for a draw before it asks other
+// routers. It covers two rounds with a healthy store and their pauses. An outage of the store
+// is detected only after callTimeout, which is longer.
 const minDrawTimeout = 100 * time.Millisecond
 
-// drawTimeout is how long a reservation waits for a draw: for one that is under way and the
+// drawTimeout returns how long a reservation waits for a draw: for one that is in flight and the
 // one that follows it, with the pauses between them.
 func (m *GrantManager) drawTimeout() time.Duration {
 	m.mu.Lock()
@@ -196,12 +199,12 @@
 	return max(minDrawTimeout, writesInFlight*(m.roundTrip+syncPause))
 }
 
-// awaitDraw waits until the hold is filled by a draw, or says why it can't be.
-func (m *GrantManager) awaitDraw(ctx context.Context, h *pendingReservation) error {
+// awaitDraw waits until draws have covered the missing tokens, or returns why they can't.
+func (m *GrantManager) awaitDraw(ctx context.Context, r *pendingReservation) error {
 	drawTimeout := time.NewTimer(m.drawTimeout())
 	defer drawTimeout.Stop()
 	for round := 0; ; round++ {
-		changed, err := m.fillOrWait(h, round > 0)
+		changed, err := m.fillOrWait(r, round > 0)
 		if changed == nil {
 			return err
 		}
@@ -209,64 +212,65 @@
 		case <-ctx.Done():
 			err = ErrUnreachable
 		case <-drawTimeout.C:
-			err = m.drawTimeoutError(h)
+			err = m.drawTimeoutError(r)
 		case <-changed:
 		}
-		m.stopWaiting(h)
+		m.stopWaiting(r)
 		if err != nil {
 			return err
 		}
 	}
 }
 
-// drawTimeoutError is what a reservation that has waited long enough ends with. While tokens are
-// gathered all is granted, and nothing more comes of asking further routers.
-func (m *GrantManager) drawTimeoutError(h *pendingReservation) error {
+// drawTimeoutError returns the error of a reservation whose wait for a draw timed out. Tokens are
+// gathered only once the whole budget is granted; asking further routers won't help then.
+func (m *GrantManager) drawTimeoutError(r *pendingReservation) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if h.grant.gathering {
+	if r.grant.gathering {
 		return ErrContended
 	}
 	return ErrUnreachable
 }
 
-// fillOrWait fills the hold if it can, and returns nothing. Else it returns the channel
-// that closes after the next round with the store, or why waiting doesn't help.
-func (m *GrantManager) fillOrWait(h *pendingReservation, waited bool) (<-chan struct{}, error) {
+// fillOrWait fills the reservation if it can, and returns a nil channel and error. Otherwise it
+// returns a channel that is closed after the next round with the store, or an error that says
+// why waiting won't help. waited means that the reservation has waited for a round before.
+func (m *GrantManager) fillOrWait(r *pendingReservation, waited bool) (<-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	h.fill()
+	r.fill()
 	switch {
-	case h.missing == 0:
+	case r.missing == 0:
 		return nil, nil
 	case m.storeDown:
 		return nil, ErrUnreachable
-	case h.grant.recordKnown && (waited || m.recordsFresh()) && m.exceedsRecord(h):
-		err := m.shortageError(h)
-		if !errors.Is(err, ErrContended) || !m.requestGather(h) {
+	case r.grant.recordKnown && (waited || m.recordsFresh()) && m.exceedsRecord(r):
+		err := m.shortageError(r)
+		if !errors.Is(err, ErrContended) || !m.requestGather(r) {
 			return nil, err
 		}
 	}
-	h.grant.waitingTokens += h.missing
+	r.grant.waitingTokens += r.missing
 	m.wakeUp()
 	return m.changed, nil
 }
 
-// recordsFresh says whether the records are known as they were a moment ago. Then a request that
-// can't be served is refused at once, and not after a round with the store that only says
-// the same.
+// recordsFresh reports whether the records were read recently enough to refuse a request at
+// once, without another round with the store that would show the same.
 func (m *GrantManager) recordsFresh() bool {
 	return m.recordsReadAt > 0 && m.o.Clock().Steady-m.recordsReadAt < readInterval
 }
 
-// exceedsRecord says whether the record can't give what is missing.
-func (m *GrantManager) exceedsRecord(h *pendingReservation) bool {
-	p := h.grant
-	return p.ungranted(m.o.Budgets()[p.account])+p.granted-p.used() < h.missing
+// exceedsRecord reports whether the missing tokens exceed the rest of this router's grant and
+// what the record has left to grant.
+func (m *GrantManager) exceedsRecord(r *pendingReservation) bool {
+	p := r.grant
+	return p.ungranted(m.o.Budgets()[p.account])+p.granted-p.used() < r.missing
 }
 
-func (m *GrantManager) stopWaiting(h *pendingReservation) {
+func (m *GrantManager) stopWaiting(r *pendingReservation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	h.grant.waitingTokens -= h.missing
+	r.grant.waitingTokens -= r.missing
 }
