--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -16,49 +16,49 @@
 
 // Pace of this router's leased entry. A renewal costs a tenth of a call.
 const (
-	// entryLease is how long callers are still sent to a router that died.
-	entryLease = 2500 * time.Millisecond
-	entryRenew = 900 * time.Millisecond
-	entryCall  = 500 * time.Millisecond
+	// entryLeaseTTL is how long callers are still sent to a router that died.
+	entryLeaseTTL      = 2500 * time.Millisecond
+	entryRenewInterval = 900 * time.Millisecond
+	storeCallTimeout   = 500 * time.Millisecond
 )
 
-// announce keeps this router's entry in the store while it takes callers.
-func (n *Node) announce(ctx context.Context) {
+// maintainEntry keeps this router's entry in the store while it takes callers.
+func (n *Node) maintainEntry(ctx context.Context) {
 	var lease store.LeaseID
 	for {
 		switch {
 		case n.stopping.Load():
-			n.withdraw(lease)
+			n.deregister(lease)
 			return
-		case lease == 0 && n.informed():
-			lease = n.enter(ctx)
+		case lease == 0 && n.hasRoutingData():
+			lease = n.register(ctx)
 		case lease != 0:
 			lease = n.renew(ctx, lease)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(n.announcePause(lease)):
-		case <-n.stopNotice:
+		case <-time.After(n.entryInterval(lease)):
+		case <-n.stopSignal:
 		}
 	}
 }
 
-// entryPoll is how often a starting router looks whether it may enter.
-const entryPoll = 50 * time.Millisecond
+// registerPollInterval is how often a starting router looks whether it may enter.
+const registerPollInterval = 50 * time.Millisecond
 
-func (n *Node) announcePause(lease store.LeaseID) time.Duration {
-	if lease == 0 && !n.informed() {
-		return entryPoll
+func (n *Node) entryInterval(lease store.LeaseID) time.Duration {
+	if lease == 0 && !n.hasRoutingData() {
+		return registerPollInterval
 	}
-	return entryRenew
+	return entryRenewInterval
 }
 
-// enter writes the entry under a new lease. It returns 0 if that failed.
-func (n *Node) enter(ctx context.Context) store.LeaseID {
-	ctx, cancel := context.WithTimeout(ctx, entryCall)
+// register writes the entry under a new lease. It returns 0 if that failed.
+func (n *Node) register(ctx context.Context) store.LeaseID {
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	lease, err := n.dialect.Store.Grant(ctx, entryLease)
+	lease, err := n.env.Store.Grant(ctx, entryLeaseTTL)
 	if err != nil {
 		n.log.Emit(event.LeaseLost, slog.Any(event.KeyCause, err))
 		return 0
@@ -69,7 +69,7 @@
 		panic(err) // two strings always encode
 	}
 	put := store.Put{Key: MemberPrefix + n.settings.VM, Value: value, Lease: lease}
-	if _, err := n.dialect.Store.Commit(ctx, store.Txn{Puts: []store.Put{put}}); err != nil {
+	if _, err := n.env.Store.Commit(ctx, store.Txn{Puts: []store.Put{put}}); err != nil {
 		n.log.Emit(event.LeaseLost, slog.Any(event.KeyCause, err))
 		return 0
 	}
@@ -79,9 +79,9 @@
 
 // renew extends the lease. It returns 0 if the lease is gone: only a new entry helps.
 func (n *Node) renew(ctx context.Context, lease store.LeaseID) store.LeaseID {
-	ctx, cancel := context.WithTimeout(ctx, entryCall)
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	err := n.dialect.Store.Renew(ctx, lease)
+	err := n.env.Store.Renew(ctx, lease)
 	if errors.Is(err, store.ErrLeaseGone) {
 		n.log.Emit(event.LeaseLost, slog.Int64("lease", int64(lease)), slog.Any(event.KeyCause, err))
 		return 0
@@ -89,69 +89,69 @@
 	return lease // another failure is the store's; its followers log that
 }
 
-// withdraw removes the entry, so that no caller is sent here any more.
-func (n *Node) withdraw(lease store.LeaseID) {
+// deregister removes the entry, so that no caller is sent here any more.
+func (n *Node) deregister(lease store.LeaseID) {
 	if lease == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), entryCall)
+	ctx, cancel := context.WithTimeout(context.Background(), storeCallTimeout)
 	defer cancel()
-	if err := n.dialect.Store.End(ctx, lease); err != nil {
+	if err := n.env.Store.End(ctx, lease); err != nil {
 		n.log.Emit(event.LeaseLost, slog.Int64("lease", int64(lease)), slog.Any(event.KeyCause, err))
 	}
 }
 
 // Reports of contents that break servers.
 const (
-	// reportsMost bounds what waits to be written.
-	reportsMost = 64
-	// reportLease is how long the other routers keep a report: as long as they
+	// maxPendingReports bounds what waits to be written.
+	maxPendingReports = 64
+	// quarantineReportTTL is how long the other routers keep a report: as long as they
 	// remember a content.
-	reportLease = 5 * time.Minute
+	quarantineReportTTL = 5 * time.Minute
 )
 
-// report tells the other routers of a content. It never blocks; a report that
+// reportQuarantined tells the other routers of a content. It never blocks; a reportQuarantined that
 // doesn't fit is left out, and each router still finds the content out by itself.
-func (n *Node) report(content uint64) {
+func (n *Node) reportQuarantined(content uint64) {
 	select {
-	case n.reports <- content:
+	case n.quarantineReports <- content:
 	default:
 		n.log.Emit(event.ReportDropped, slog.Uint64("content", content))
 	}
 }
 
-func (n *Node) publishReports(ctx context.Context) {
+func (n *Node) publishQuarantineReports(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case content := <-n.reports:
-			n.publish(ctx, content)
+		case content := <-n.quarantineReports:
+			n.publishQuarantineReport(ctx, content)
 		}
 	}
 }
 
-func (n *Node) publish(ctx context.Context, content uint64) {
-	ctx, cancel := context.WithTimeout(ctx, entryCall)
+func (n *Node) publishQuarantineReport(ctx context.Context, content uint64) {
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	lease, err := n.dialect.Store.Grant(ctx, reportLease)
+	lease, err := n.env.Store.Grant(ctx, quarantineReportTTL)
 	if err == nil {
-		key := brokenPrefix + strconv.FormatUint(content, 16)
-		_, err = n.dialect.Store.Commit(ctx, store.Txn{Puts: []store.Put{{Key: key, Value: []byte(n.settings.VM), Lease: lease}}})
+		key := quarantinePrefix + strconv.FormatUint(content, 16)
+		_, err = n.env.Store.Commit(ctx, store.Txn{Puts: []store.Put{{Key: key, Value: []byte(n.settings.VM), Lease: lease}}})
 	}
 	if err != nil {
 		n.log.Emit(event.ReportDropped, slog.Uint64("content", content), slog.Any(event.KeyCause, err))
 	}
 }
 
-// holdBroken takes another router's report; it says whether the key is one.
-func (n *Node) holdBroken(key string) bool {
-	hash, found := strings.CutPrefix(key, brokenPrefix)
+// applyQuarantineReport takes another router's report; it says whether the key is one.
+func (n *Node) applyQuarantineReport(key string) bool {
+	hash, found := strings.CutPrefix(key, quarantinePrefix)
 	if !found {
 		return false
 	}
 	if content, err := strconv.ParseUint(hash, 16, 64); err == nil {
-		n.held.Insert(content)
+		n.quarantine.Insert(content)
 	}
 	return true
 }
--- a/internal/node/bootstrap.go
+++ b/internal/node/bootstrap.go
@@ -11,36 +11,36 @@
 
 // Pace of a start while the store is away.
 const (
-	// bootstrapAfter leaves the store its time: it is the better source.
-	bootstrapAfter = 300 * time.Millisecond
-	bootstrapEvery = 500 * time.Millisecond
+	// bootstrapDelay leaves the store its time: it is the better source.
+	bootstrapDelay    = 300 * time.Millisecond
+	bootstrapInterval = 500 * time.Millisecond
 )
 
 // bootstrap learns configuration, backend servers and routers from another router,
 // if the store can't be reached at the start. Without it a router that starts in an
 // outage refuses everything until the outage ends.
 func (n *Node) bootstrap(ctx context.Context) {
-	pause := bootstrapAfter
+	pause := bootstrapDelay
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(pause):
 		}
-		pause = bootstrapEvery
+		pause = bootstrapInterval
 		if n.policy.Load() != nil && n.registry.View().Total > 0 {
 			return
 		}
 		for _, seed := range n.settings.Seeds {
-			if seed != n.settings.Peers && n.learnFrom(ctx, seed) {
+			if seed != n.settings.Peers && n.bootstrapFrom(ctx, seed) {
 				return
 			}
 		}
 	}
 }
 
-// learnFrom takes over what a router knows; false if it knows nothing either.
-func (n *Node) learnFrom(ctx context.Context, address string) bool {
+// bootstrapFrom takes over what a router knows; false if it knows nothing either.
+func (n *Node) bootstrapFrom(ctx context.Context, address string) bool {
 	known, err := n.peers.Known(ctx, address)
 	if err != nil || len(known.Config) == 0 || len(known.Servers) == 0 {
 		return false // the next seed, or the next round
--- a/internal/node/capacity_test.go
+++ b/internal/node/capacity_test.go
@@ -52,7 +52,7 @@
 	n.members = fleet.NewMembers(decodeMember, event.Discard(), nil)
 	n.members.Reset(append(items[:5:5], items[6:]...), store.Silence{})
 	for account, standby := range standbys {
-		c.Assert(n.homeOf(account), qt.Equals, standby)
+		c.Assert(n.homeAddress(account), qt.Equals, standby)
 	}
 }
 
@@ -80,19 +80,19 @@
 		}
 		gone := slices.IndexFunc(items, func(item store.Item) bool { return strings.Contains(string(item.Value), `"`+home+`"`) })
 		n.members.Apply([]store.Event{{Item: items[gone], Deleted: true}}, store.Silence{})
-		c.Assert(n.homeOf(account), qt.Equals, standby)
+		c.Assert(n.homeAddress(account), qt.Equals, standby)
 		n.members.Apply([]store.Event{{Item: items[gone]}}, store.Silence{})
-		c.Assert(n.homeOf(account), qt.Equals, home)
+		c.Assert(n.homeAddress(account), qt.Equals, home)
 	}
 	n.stopping.Store(true)
 	for i := range 20 {
-		c.Assert(n.homeOf(fmt.Sprint("account-", i)), qt.Not(qt.Equals), "", qt.Commentf("a router that stops is home of nothing"))
+		c.Assert(n.homeAddress(fmt.Sprint("account-", i)), qt.Not(qt.Equals), "", qt.Commentf("a router that stops is home of nothing"))
 	}
 }
 
 // firstTwo are an account's home and the standby that holds when the home can't.
 func firstTwo(n *Node, account string) (home, standby string) {
-	holders := n.holdersOf(account)
+	holders := n.holderAddresses(account)
 	return holders[0], holders[1]
 }
 
@@ -105,9 +105,9 @@
 		home, standby := firstTwo(n, fmt.Sprint("account-", i))
 		standbys[home] = standby
 	}
-	c.Assert(len(standbys) <= homesLeast, qt.IsTrue, qt.Commentf("%d homes", len(standbys)))
-	c.Assert(len(standbys) > homesLeast/2, qt.IsTrue, qt.Commentf("%d homes", len(standbys)))
-	lost := n.homeOf("account-1")
+	c.Assert(len(standbys) <= minSharedHomes, qt.IsTrue, qt.Commentf("%d homes", len(standbys)))
+	c.Assert(len(standbys) > minSharedHomes/2, qt.IsTrue, qt.Commentf("%d homes", len(standbys)))
+	lost := n.homeAddress("account-1")
 	_, standby := firstTwo(n, "account-1")
 	n.members = fleet.NewMembers(decodeMember, event.Discard(), nil)
 	for i, item := range items {
@@ -115,7 +115,7 @@
 			n.members.Apply([]store.Event{{Item: item}}, store.Silence{})
 		}
 	}
-	c.Assert(n.homeOf("account-1"), qt.Equals, standby)
+	c.Assert(n.homeAddress("account-1"), qt.Equals, standby)
 }
 
 // Guards against small routers whose links are full with what they pass on to followers.
@@ -129,10 +129,10 @@
 			}
 			members = append(members, m)
 		}
-		chosen := readers(members, "zone-1")
+		chosen := storeReaders(members, "zone-1")
 		qt.Assert(t, chosen, qt.HasLen, 1)
 		qt.Assert(t, chosen[0].Capacity, qt.Equals, 0.8)
-		qt.Assert(t, readers(members[2:], "zone-1"), qt.HasLen, 1)
+		qt.Assert(t, storeReaders(members[2:], "zone-1"), qt.HasLen, 1)
 	}
 }
 
@@ -144,7 +144,7 @@
 		for i := range 40 {
 			members = append(members, fleet.Member{Name: fmt.Sprint("vm-", round*100+i), Peer: "p", Domain: "zone-1", Capacity: 1})
 		}
-		chosen := readers(members, "zone-1")
+		chosen := storeReaders(members, "zone-1")
 		qt.Assert(t, chosen, qt.HasLen, 2)
 		used[chosen[0].Name] = true
 	}
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -14,68 +14,68 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// follow starts what keeps this router's knowledge and its own entry fresh.
-func (n *Node) follow(ctx context.Context, tasks *conc.WaitGroup) {
-	n.followStore(ctx, tasks)
-	tasks.Go(func() { n.logCalls(ctx) })
-	tasks.Go(func() { n.keeper.Run(ctx) })
+// startBackgroundTasks starts what keeps this router's knowledge and its own entry fresh.
+func (n *Node) startBackgroundTasks(ctx context.Context, tasks *conc.WaitGroup) {
+	n.startFollowers(ctx, tasks)
+	tasks.Go(func() { n.logStoreCalls(ctx) })
+	tasks.Go(func() { n.grants.Run(ctx) })
 	tasks.Go(func() { n.client.Run(ctx) })
 	tasks.Go(func() { n.peers.Run(ctx) })
 	tasks.Go(func() { n.bootstrap(ctx) })
-	tasks.Go(func() { n.announce(ctx) })
-	tasks.Go(func() { n.publishReports(ctx) })
+	tasks.Go(func() { n.maintainEntry(ctx) })
+	tasks.Go(func() { n.publishQuarantineReports(ctx) })
 	tasks.Go(func() { n.publishLimits(ctx) })
 }
 
-// followStore starts the followers of configuration, backend servers and routers.
-func (n *Node) followStore(ctx context.Context, tasks *conc.WaitGroup) {
-	for _, f := range n.followers(&relay{node: n, wait: relayWait}) {
+// startFollowers starts the followers of configuration, backend servers and routers.
+func (n *Node) startFollowers(ctx context.Context, tasks *conc.WaitGroup) {
+	for _, f := range n.followers(&relay{node: n, wait: relayWatchWait}) {
 		tasks.Go(func() { f.Run(ctx) })
 	}
 }
 
 // followers are those of configuration, backend servers and routers, with what other
 // routers can tell.
-func (n *Node) followers(others store.Relay) []*store.Follower {
+func (n *Node) followers(r store.Relay) []*store.Follower {
 	followers := []*store.Follower{n.configFollower(), n.serversFollower(), n.fleetFollower()}
 	gate := &store.Gate{}
 	for _, f := range followers {
-		f.Store, f.Gate, f.Feed, f.Now = n.dialect.Store, gate, n.feeds[f.Prefix], n.dialect.Now
-		f.Relay = others
-		f.SourceChanged = n.sourceChanged(f.Prefix)
-		f.Checked = n.checked(f.Prefix)
+		f.Store, f.Gate, f.Feed, f.Now = n.env.Store, gate, n.feeds[f.Prefix], n.env.Now
+		f.Relay = r
+		f.SourceChanged = n.logSourceChange(f.Prefix)
+		f.Checked = n.logStaleCheck(f.Prefix)
 	}
 	return followers
 }
 
 func (n *Node) configFollower() *store.Follower {
-	return &store.Follower{Prefix: n.dialect.ConfigPrefix, Sink: &configSink{node: n},
-		Wait: configWait, Pause: configPause, CheckAfter: configCheck, Patience: patience}
+	return &store.Follower{Prefix: n.env.ConfigPrefix, Sink: &configSink{node: n},
+		Wait: configWatchWait, Pause: configWatchPause, CheckAfter: configCheckAfter, Patience: watchMargin}
 }
 
 func (n *Node) serversFollower() *store.Follower {
-	drain := max(n.settings.Drain, drainLeast)
-	part := func(share float64) time.Duration { return time.Duration(share * float64(drain)) }
-	return &store.Follower{Prefix: n.dialect.ServersPrefix, Sink: n.registry,
-		Wait: part(serversWaitPart), Pause: part(serversPausePart), CheckAfter: part(serversCheckPart),
-		Patience: patience, Burst: serversBurst}
+	drain := max(n.settings.Drain, minDrain)
+	fraction := func(share float64) time.Duration { return time.Duration(share * float64(drain)) }
+	return &store.Follower{Prefix: n.env.ServersPrefix, Sink: n.registry,
+		Wait: fraction(serversWatchWaitFraction), Pause: fraction(serversWatchPauseFraction), CheckAfter: fraction(serversCheckAfterFraction),
+		Patience: watchMargin, Burst: serversBurst}
 }
 
 func (n *Node) fleetFollower() *store.Follower {
-	return &store.Follower{Prefix: fleetPrefix, Sink: &fleetSink{node: n}, Learned: n.listing.confirmed,
-		Wait: fleetWait, Pause: fleetPause, CheckAfter: fleetCheck, Patience: patience}
+	return &store.Follower{Prefix: fleetPrefix, Sink: &fleetSink{node: n}, Learned: n.membership.confirm,
+		Wait: fleetWatchWait, Pause: fleetWatchPause, CheckAfter: fleetCheckAfter, Patience: watchMargin}
 }
 
-// sourceChanged logs where a follower learns from, at each change.
-func (n *Node) sourceChanged(prefix string) func(relayed bool) {
+// logSourceChange logs where a follower learns from, at each change.
+func (n *Node) logSourceChange(prefix string) func(relayed bool) {
 	return func(relayed bool) {
 		n.metrics.SetRelayed(prefix, relayed)
 		n.log.Emit(event.SourceChanged, slog.String("follows", prefix), slog.Bool("relayed", relayed))
 	}
 }
 
-// checked logs that what is known got old, and is asked for beside the call under way.
-func (n *Node) checked(prefix string) func(age time.Duration, relayed, failing bool) {
+// logStaleCheck logs that what is known got old, and is asked for beside the call under way.
+func (n *Node) logStaleCheck(prefix string) func(age time.Duration, relayed, failing bool) {
 	return func(age time.Duration, relayed, failing bool) {
 		n.metrics.CountStale(prefix)
 		n.log.Emit(event.KnowledgeOld, slog.String("follows", prefix), slog.Int64("age_ms", age.Milliseconds()),
@@ -94,7 +94,7 @@
 
 func (s *configSink) Reset(items []store.Item, _ store.Silence) {
 	for _, item := range items {
-		s.take(item)
+		s.update(item)
 	}
 	s.node.evacuated.Reset(items)
 }
@@ -102,19 +102,19 @@
 func (s *configSink) Apply(events []store.Event, _ store.Silence) {
 	for _, e := range events {
 		if !e.Deleted {
-			s.take(e.Item)
+			s.update(e.Item)
 		}
 	}
 	s.node.evacuated.Apply(events)
 }
 
-// take puts a version in force, whole or not at all. Versions never go back.
-func (s *configSink) take(item store.Item) {
+// update puts a version in force, whole or not at all. Versions never go back.
+func (s *configSink) update(item store.Item) {
 	n := s.node
-	if !n.dialect.IsConfig(item) {
+	if !n.env.IsConfig(item) {
 		return
 	}
-	p, err := n.dialect.DecodeConfig(item)
+	p, err := n.env.DecodeConfig(item)
 	if err != nil {
 		n.log.Emit(event.ConfigRejected, slog.Int64("revision", int64(item.Revision)), slog.Any(event.KeyCause, err))
 		return
@@ -142,25 +142,25 @@
 func (s *fleetSink) Reset(items []store.Item, silence store.Silence) {
 	var members []store.Item
 	for _, item := range items {
-		if !s.node.holdBroken(item.Key) && !s.node.limits.ApplyRecord(item) {
+		if !s.node.applyQuarantineReport(item.Key) && !s.node.limits.ApplyRecord(item) {
 			members = append(members, item)
 		}
 	}
 	s.node.members.Reset(members, silence)
-	s.node.noteListed()
-	s.node.retries.Set(retryLimits(s.node.settings), s.node.sharers())
+	s.node.updateMembership()
+	s.node.retries.Set(retryLimits(s.node.settings), s.node.retryShares())
 }
 
 func (s *fleetSink) Apply(events []store.Event, silence store.Silence) {
 	var members []store.Event
 	for _, e := range events {
-		if e.Deleted || !s.node.holdBroken(e.Key) && !s.node.limits.ApplyRecord(e.Item) {
+		if e.Deleted || !s.node.applyQuarantineReport(e.Key) && !s.node.limits.ApplyRecord(e.Item) {
 			members = append(members, e)
 		}
 	}
 	s.node.members.Apply(members, silence)
-	s.node.noteListed()
-	s.node.retries.Set(retryLimits(s.node.settings), s.node.sharers())
+	s.node.updateMembership()
+	s.node.retries.Set(retryLimits(s.node.settings), s.node.retryShares())
 }
 
 // MemberRecord is the stored form of a router's entry.
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -189,7 +189,7 @@
 func silence(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
-	case <-time.After(relayWait + 250*time.Millisecond):
+	case <-time.After(relayWatchWait + 250*time.Millisecond):
 	}
 	return store.ErrNoFeed
 }
--- a/internal/node/homes_bench_test.go
+++ b/internal/node/homes_bench_test.go
@@ -8,12 +8,12 @@
 	n, _ := amongAlike(195)
 	b.Run("home", func(b *testing.B) {
 		for b.Loop() {
-			n.homeOf("account")
+			n.homeAddress("account")
 		}
 	})
 	b.Run("holders", func(b *testing.B) {
 		for b.Loop() {
-			n.holdersOf("account")
+			n.holderAddresses("account")
 		}
 	})
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// limitLease is how long a record outlives the lease's grant, and limitLeaseUsed how long
+	// limitLeaseTTL is how long a record outlives the lease's grant, and limitLeaseUsed how long
 	// a lease takes new records: far longer than the pauses in which a limit is confirmed.
-	limitLease     = 5 * time.Minute
-	limitLeaseUsed = 2 * time.Minute
-	// limitsSweep is how often limits of servers that are gone are dropped.
-	limitsSweep = 30 * time.Second
+	limitLeaseTTL       = 5 * time.Minute
+	limitLeaseReuseTime = 2 * time.Minute
+	// limitSweepInterval is how often limits of servers that are gone are dropped.
+	limitSweepInterval = 30 * time.Second
 )
 
 // limitWriter writes the records of the limits that backend servers named.
@@ -32,10 +32,10 @@
 // publishLimits tells the other routers of limits that backend servers named to this one.
 func (n *Node) publishLimits(ctx context.Context) {
 	w := limitWriter{node: n}
-	sweep := time.NewTicker(limitsSweep)
+	sweep := time.NewTicker(limitSweepInterval)
 	defer sweep.Stop()
 	for {
-		record, wait := n.limits.NextWrite(n.placeFor)
+		record, wait := n.limits.NextWrite(n.rankFor)
 		if record != nil {
 			w.write(ctx, *record)
 			continue
@@ -57,7 +57,7 @@
 
 // write writes one record. If that fails the record stays due.
 func (w *limitWriter) write(ctx context.Context, record pacing.Record) {
-	ctx, cancel := context.WithTimeout(ctx, entryCall)
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	record.Router = w.node.settings.VM
 	err := w.commit(ctx, record)
@@ -74,8 +74,8 @@
 }
 
 func (w *limitWriter) commit(ctx context.Context, record pacing.Record) error {
-	if w.lease == 0 || time.Since(w.granted) > limitLeaseUsed {
-		lease, err := w.node.dialect.Store.Grant(ctx, limitLease)
+	if w.lease == 0 || time.Since(w.granted) > limitLeaseReuseTime {
+		lease, err := w.node.env.Store.Grant(ctx, limitLeaseTTL)
 		if err != nil {
 			return err
 		}
@@ -86,6 +86,6 @@
 		return err
 	}
 	put := store.Put{Key: record.Key(), Value: value, Lease: w.lease}
-	_, err = w.node.dialect.Store.Commit(ctx, store.Txn{Puts: []store.Put{put}})
+	_, err = w.node.env.Store.Commit(ctx, store.Txn{Puts: []store.Put{put}})
 	return err
 }
--- a/internal/node/limits_bench_test.go
+++ b/internal/node/limits_bench_test.go
@@ -19,7 +19,7 @@
 		b.Run(fmt.Sprint(limited, " limited"), func(b *testing.B) {
 			w := newWarmers(b, routers)
 			w.learn(w.nodes, w.nodes)
-			w.now = w.now.Add(listedLeast)
+			w.now = w.now.Add(minListedTime)
 			w.learn(w.nodes, w.nodes)
 			n := w.nodes[0]
 			list := make([]*fleet.Server, servers)
@@ -29,7 +29,7 @@
 			for i := range limited {
 				n.limits.Answered(list[i], fleet.RateLimit{State: fleet.LimitPresent, PerSecond: 1.2}, time.Now())
 			}
-			limiter := &pacing.Limiter{ColdRate: n.coldRate, SenderRank: n.placeFor, Limits: n.limits, Now: time.Now}
+			limiter := &pacing.Limiter{ColdRate: n.coldRate, SenderRank: n.rankFor, Limits: n.limits, Now: time.Now}
 			chooser := balance.NewChooser("zone-1", limiter, nil)
 			r := &request.Request{HasUsage: true, PromptTokens: 1000, Parts: []request.Part{{ID: "shared", Tokens: 500}, {ID: "own", Tokens: 500}}}
 			for b.Loop() {
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -15,7 +15,7 @@
 
 // listener is one HTTP listener.
 type listener struct {
-	net    net.Listener
+	ln     net.Listener
 	server *http.Server
 	log    *event.Log
 }
@@ -23,12 +23,12 @@
 // Limits of callers' connections. The configured idle time is shorter; a router
 // that closes later than callers expect loses nothing.
 const (
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 75 * time.Second
-	headerBytes   = 64 << 10
+	readHeaderTimeout = 10 * time.Second
+	idleTimeout       = 75 * time.Second
+	maxHeaderBytes    = 64 << 10
 )
 
-func (n *Node) forCallers() callers.Router {
+func (n *Node) callerRouter() callers.Router {
 	return callers.Router{
 		Serve: n.serve, Refuse: n.forward.Refuse, BodyLimit: n.bodyLimit, Closing: n.stopping.Load, Policy: n.policy.Load,
 		Resolve: n.resolve, EntryTTL: n.settings.EntryTTL,
@@ -42,9 +42,9 @@
 		address *string
 		handler http.Handler
 	}{
-		{&n.settings.Callers, n.dialect.Front(n.forCallers())},
-		{&n.settings.Ready, n.dialect.Ready(n.Ready)},
-		{&n.settings.Directory, n.dialect.Directory(n.resolve, n.settings.EntryTTL)},
+		{&n.settings.Callers, n.env.Front(n.callerRouter())},
+		{&n.settings.Ready, n.env.Ready(n.Ready)},
+		{&n.settings.Directory, n.env.Directory(n.resolve, n.settings.EntryTTL)},
 		{&n.settings.Metrics, n.metrics.Handler()},
 	}
 	for _, h := range handlers {
@@ -53,9 +53,9 @@
 			n.closeListeners()
 			return err
 		}
-		server := &http.Server{Handler: h.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
-			MaxHeaderBytes: headerBytes, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
-		n.listeners = append(n.listeners, &listener{net: l, server: server, log: n.log})
+		server := &http.Server{Handler: h.handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
+			MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
+		n.listeners = append(n.listeners, &listener{ln: l, server: server, log: n.log})
 	}
 	var err error
 	if n.peerListener, err = listenOn(&n.settings.Peers); err != nil {
@@ -75,7 +75,7 @@
 }
 
 func (n *Node) closeListeners() {
-	ctx, cancel := context.WithTimeout(context.Background(), closeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	for _, l := range n.listeners {
 		l.close(ctx)
@@ -86,13 +86,13 @@
 }
 
 func (l *listener) serve() {
-	if err := l.server.Serve(l.net); !errors.Is(err, http.ErrServerClosed) {
-		l.log.Emit(event.ListenerFailed, slog.String("address", l.net.Addr().String()), slog.Any(event.KeyCause, err))
+	if err := l.server.Serve(l.ln); !errors.Is(err, http.ErrServerClosed) {
+		l.log.Emit(event.ListenerFailed, slog.String("address", l.ln.Addr().String()), slog.Any(event.KeyCause, err))
 	}
 }
 
-// closeTime lets answers that are being written end, on all listeners together.
-const closeTime = 100 * time.Millisecond
+// closeTimeout lets answers that are being written end, on all listeners together.
+const closeTimeout = 100 * time.Millisecond
 
 // close lets what is being written end until ctx does, and then cuts it off.
 func (l *listener) close(ctx context.Context) {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -19,14 +19,14 @@
 // Metrics of one router; it implements forward.Metrics.
 type Metrics struct {
 	registry     *prometheus.Registry
-	first        prometheus.Histogram
-	whole        prometheus.Histogram
+	firstByte    prometheus.Histogram
+	total        prometheus.Histogram
 	refused      *prometheus.CounterVec
 	repeated     *prometheus.CounterVec
 	BackendDials prometheus.Counter
-	calls        *prometheus.CounterVec
+	storeCalls   *prometheus.CounterVec
 	relayed      *prometheus.GaugeVec
-	checked      *prometheus.CounterVec
+	stale        *prometheus.CounterVec
 
 	mu     sync.Mutex
 	recent map[string]int // calls to the store since the last line of the log
@@ -37,33 +37,33 @@
 	buckets := prometheus.ExponentialBuckets(0.005, 2, 12) // 5 ms to 10 s
 	m := &Metrics{
 		registry:     prometheus.NewRegistry(),
-		first:        prometheus.NewHistogram(prometheus.HistogramOpts{Name: "chicory_first_byte_seconds", Help: "From arrival to the answer's first byte.", Buckets: buckets}),
-		whole:        prometheus.NewHistogram(prometheus.HistogramOpts{Name: "chicory_answer_seconds", Help: "From arrival to the answer's end.", Buckets: buckets}),
+		firstByte:    prometheus.NewHistogram(prometheus.HistogramOpts{Name: "chicory_first_byte_seconds", Help: "From arrival to the answer's first byte.", Buckets: buckets}),
+		total:        prometheus.NewHistogram(prometheus.HistogramOpts{Name: "chicory_answer_seconds", Help: "From arrival to the answer's end.", Buckets: buckets}),
 		refused:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_refused_total", Help: "Requests without a backend server's whole answer, by cause."}, []string{"cause"}),
 		repeated:     prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_repeated_total", Help: "Requests sent once more, by reason."}, []string{"why"}),
 		BackendDials: prometheus.NewCounter(prometheus.CounterOpts{Name: "chicory_backend_dials_total", Help: "Connections opened to backend servers."}),
 	}
-	m.calls = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_store_calls_total",
+	m.storeCalls = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_store_calls_total",
 		Help: "Calls to the store, by kind, subject and outcome."}, []string{"kind", "subject", "outcome"})
 	m.relayed = prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "chicory_follows_router",
 		Help: "1: what lies under the prefix is learned from another router; 0: from the store."}, []string{"prefix"})
-	m.checked = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_knowledge_old_total",
+	m.stale = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_knowledge_old_total",
 		Help: "Times that what lies under the prefix was not confirmed in time."}, []string{"prefix"})
 	m.recent = make(map[string]int)
-	m.registry.MustRegister(m.first, m.whole, m.refused, m.repeated, m.BackendDials, m.calls, m.relayed, m.checked)
+	m.registry.MustRegister(m.firstByte, m.total, m.refused, m.repeated, m.BackendDials, m.storeCalls, m.relayed, m.stale)
 	return m
 }
 
-// watchLimits exposes how many backend servers limit their requests.
-func (m *Metrics) watchLimits(count func() int) {
+// registerLimitedBackends exposes how many backend servers limit their requests.
+func (m *Metrics) registerLimitedBackends(count func() int) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "chicory_limited_backends",
 		Help: "Backend servers that name a limit of requests a second."}, func() float64 { return float64(count()) }))
 }
 
 // Served implements forward.Metrics.
-func (m *Metrics) Served(first, whole time.Duration) {
-	m.first.Observe(first.Seconds())
-	m.whole.Observe(whole.Seconds())
+func (m *Metrics) Served(firstByte, total time.Duration) {
+	m.firstByte.Observe(firstByte.Seconds())
+	m.total.Observe(total.Seconds())
 }
 
 // Refused implements forward.Metrics.
@@ -78,18 +78,18 @@
 
 // Outcomes of calls to the store.
 const (
-	callAnswered = "answered"
-	callFailed   = "failed"
+	outcomeAnswered = "answered"
+	outcomeFailed   = "failed"
 )
 
 // CountStoreCall counts one call to the store. It is the callback of store.Counted.
 func (m *Metrics) CountStoreCall(kind, subject string, err error) {
-	outcome, key := callAnswered, kind+" "+subject
+	outcome, key := outcomeAnswered, kind+" "+subject
 	if err != nil && !errors.Is(err, store.ErrConflict) {
-		outcome = callFailed
-		key += " " + callFailed
+		outcome = outcomeFailed
+		key += " " + outcomeFailed
 	}
-	m.calls.WithLabelValues(kind, subject, outcome).Inc()
+	m.storeCalls.WithLabelValues(kind, subject, outcome).Inc()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.recent[key]++
@@ -107,11 +107,11 @@
 
 // CountStale counts that the data under the prefix was not confirmed in time.
 func (m *Metrics) CountStale(prefix string) {
-	m.checked.WithLabelValues(prefix).Inc()
+	m.stale.WithLabelValues(prefix).Inc()
 }
 
-// takeRecent returns the calls to the store since it was asked last.
-func (m *Metrics) takeRecent() map[string]int {
+// takeRecentCalls returns the calls to the store since it was asked last.
+func (m *Metrics) takeRecentCalls() map[string]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	recent := m.recent
@@ -119,13 +119,13 @@
 	return recent
 }
 
-// callsEvery is how often the calls to the store are logged: seldom enough to cost
+// storeCallLogInterval is how often the calls to the store are logged: seldom enough to cost
 // nothing, often enough to tell an outage's calls from those before it.
-const callsEvery = 10 * time.Second
+const storeCallLogInterval = 10 * time.Second
 
-// logCalls writes what the store is asked for until ctx ends, and once more then.
-func (n *Node) logCalls(ctx context.Context) {
-	ticker := time.NewTicker(callsEvery)
+// logStoreCalls writes what the store is asked for until ctx ends, and once more then.
+func (n *Node) logStoreCalls(ctx context.Context) {
+	ticker := time.NewTicker(storeCallLogInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -133,7 +133,7 @@
 		case <-ticker.C:
 		}
 		var attrs []slog.Attr
-		for key, count := range n.metrics.takeRecent() {
+		for key, count := range n.metrics.takeRecentCalls() {
 			attrs = append(attrs, slog.Int(key, count))
 		}
 		if len(attrs) > 0 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,9 +34,9 @@
 // Keys of the fleet's own records.
 const (
 	// MemberPrefix holds the routers' own entries, each under its VM's name.
-	MemberPrefix = "chicory/router/"
-	brokenPrefix = "chicory/broken/"
-	fleetPrefix  = "chicory/" // of both
+	MemberPrefix     = "chicory/router/"
+	quarantinePrefix = "chicory/broken/"
+	fleetPrefix      = "chicory/" // of both
 	// BudgetPrefix holds what package escrow keeps.
 	BudgetPrefix = "chicory-budget/"
 )
@@ -45,39 +45,39 @@
 // is one each wait and pause. The bounds on the age of what is known are the checks': see
 // store.Follower.
 const (
-	// configWait and configPause confirm the configuration each 1.2 s. configPause keeps a
+	// configWatchWait and configPause confirm the configuration each 1.2 s. configPause keeps a
 	// storm of versions from becoming a storm of calls.
-	configWait  = 1150 * time.Millisecond
-	configPause = 50 * time.Millisecond
-	// configCheck leaves 0.4 s of the two seconds within which a version must be in force
+	configWatchWait  = 1150 * time.Millisecond
+	configWatchPause = 50 * time.Millisecond
+	// configCheckAfter leaves 0.4 s of the two seconds within which a version must be in force
 	// for a router that follows another, its second check and slow links.
-	configCheck = 1400 * time.Millisecond
+	configCheckAfter = 1400 * time.Millisecond
 	// Of the time that a leaving server still serves, the entries of the servers are
 	// confirmed each half (watch) and tenth (pause), and checked after seven tenths.
-	serversWaitPart  = 0.5
-	serversPausePart = 0.1
-	serversCheckPart = 0.7
-	// drainLeast bounds the calls where servers serve for a shorter time, or none.
-	drainLeast = 500 * time.Millisecond
+	serversWatchWaitFraction  = 0.5
+	serversWatchPauseFraction = 0.1
+	serversCheckAfterFraction = 0.7
+	// minDrain bounds the calls where servers serve for a shorter time, or none.
+	minDrain = 500 * time.Millisecond
 	// serversBurst lets a few servers that leave one after the other be known at once.
 	// Where entries change all the time, it is a call each wait and pause.
 	serversBurst = 4
 
-	// fleetWait suits changes that are rare, fleetPause the times when they are not: after
+	// fleetWatchWait suits changes that are rare, fleetPause the times when they are not: after
 	// an outage each router enters itself again, and a call for each would be paid for.
-	fleetWait  = 2000 * time.Millisecond
-	fleetPause = 300 * time.Millisecond
-	// fleetCheck lets each router know a content that breaks servers within the three
+	fleetWatchWait  = 2000 * time.Millisecond
+	fleetWatchPause = 300 * time.Millisecond
+	// fleetCheckAfter lets each router know a content that breaks servers within the three
 	// seconds after which it must not be sent any more. Callers leave a router that doesn't
 	// answer by themselves.
-	fleetCheck = 2600 * time.Millisecond
-	// patience is the time an answer may take beyond its wait: over a link whose queue holds
+	fleetCheckAfter = 2600 * time.Millisecond
+	// watchMargin is the time an answer may take beyond its wait: over a link whose queue holds
 	// packets for half a second each way, and of a store that is slow. A call that hangs for
 	// longer puts nothing off, since the checks run beside it.
-	patience = 1200 * time.Millisecond
-	// relayWait is how long a router that follows the store for others holds an answer
+	watchMargin = 1200 * time.Millisecond
+	// relayWatchWait is how long a router that follows the store for others holds an answer
 	// back while it hears nothing; see relay.wait.
-	relayWait = 500 * time.Millisecond
+	relayWatchWait = 500 * time.Millisecond
 )
 
 // Environment connects a node to its deployment: the store, the clocks, the formats of stored
@@ -106,48 +106,48 @@
 // Node is one router.
 type Node struct {
 	settings    *Settings
-	dialect     Environment
+	env         Environment
 	log         *event.Log
 	incarnation string
 	metrics     *Metrics
 
 	policy atomic.Pointer[policy.Policy]
 	// configItem is what the policy was decoded from.
-	configItem atomic.Pointer[store.Item]
-	configMu   sync.Mutex             // orders changes of both
-	feeds      map[string]*store.Feed // by prefix
-	registry   *fleet.Registry
-	evacuated  *fleet.Evacuations
-	members    *fleet.Members
-	rankings   rankings[[]string]          // holders of accounts
-	places     rankings[pacing.SenderRank] // of this router, by start of a backend server
-	limits     *pacing.Limits
-	listing    listing
-	keeper     *escrow.GrantManager
-	retries    *retry.Budget
-	held       *retry.Quarantine
-	client     *upstream.Client
-	peers      *peers.Client
-	forward    *forward.Forwarder
-	reports    chan uint64
+	configItem        atomic.Pointer[store.Item]
+	configMu          sync.Mutex             // orders changes of both
+	feeds             map[string]*store.Feed // by prefix
+	registry          *fleet.Registry
+	evacuated         *fleet.Evacuations
+	members           *fleet.Members
+	rankings          rankings[[]string]          // holders of accounts
+	serverRanks       rankings[pacing.SenderRank] // of this router, by start of a backend server
+	limits            *pacing.Limits
+	membership        membership
+	grants            *escrow.GrantManager
+	retries           *retry.Budget
+	quarantine        *retry.Quarantine
+	client            *upstream.Client
+	peers             *peers.Client
+	forward           *forward.Forwarder
+	quarantineReports chan uint64
 
 	listeners    []*listener
 	peerListener net.Listener
 
-	born       time.Time
-	stopNotice chan struct{} // closed when the stop begins
-	stopping   atomic.Bool
-	leaving    atomic.Bool  // takes no request at all any more
-	stoppedAt  atomic.Int64 // monotonic-free wall time of the stop, Unix ms
-	inHand     atomic.Int64
+	createdAt     time.Time
+	stopSignal    chan struct{} // closed when the stop begins
+	stopping      atomic.Bool
+	refusing      atomic.Bool  // takes no request at all any more
+	stopStartedAt atomic.Int64 // monotonic-free wall time of the stop, Unix ms
+	inFlight      atomic.Int64
 }
 
 // New makes a node. incarnation is a name that no other process ever has.
 func New(s *Settings, d Environment, log *event.Log, incarnation string) *Node {
-	n := &Node{settings: s, dialect: d, log: log, incarnation: incarnation, metrics: NewMetrics(), reports: make(chan uint64, reportsMost),
-		stopNotice: make(chan struct{}), born: time.Now()}
+	n := &Node{settings: s, env: d, log: log, incarnation: incarnation, metrics: NewMetrics(), quarantineReports: make(chan uint64, maxPendingReports),
+		stopSignal: make(chan struct{}), createdAt: time.Now()}
 	d.Store = store.Counted{Store: d.Store, Count: n.metrics.CountStoreCall}
-	n.dialect.Store = d.Store
+	n.env.Store = d.Store
 	n.registry = fleet.NewRegistry(d.DecodeServer, log, nil)
 	n.registry.SetWarmUp(n.warmUp)
 	n.evacuated = fleet.NewEvacuations(d.EvacuatedDomain, n.registry, log)
@@ -156,28 +156,28 @@
 		d.ConfigPrefix: {Now: d.Now}, fleetPrefix: {Now: d.Now}, d.ServersPrefix: {Now: d.Now, Same: n.registry.Same},
 	}
 	n.retries = retry.NewBudget(retryLimits(s), 1, nil)
-	n.held = retry.NewQuarantine(nil)
+	n.quarantine = retry.NewQuarantine(nil)
 	n.client = upstream.NewClient(d.Codec, n.metrics.BackendDials)
 	n.peers = peers.NewClient(incarnation, n.peerAddresses, log)
-	n.keeper = escrow.New(escrow.Options{
+	n.grants = escrow.New(escrow.Options{
 		Store: d.Store, Prefix: BudgetPrefix, VM: s.VM, Address: s.Peers, Incarnation: incarnation, Clock: d.Clock,
-		Budgets: n.budgets, Home: n.homeOf, Holders: n.holdersOf, Log: log, Peers: n.peers,
+		Budgets: n.budgets, Home: n.homeAddress, Holders: n.holderAddresses, Log: log, Peers: n.peers,
 	})
 	n.limits = pacing.NewLimits(log, nil)
-	n.metrics.watchLimits(n.limits.Count)
-	pacer := &pacing.Limiter{ColdRate: n.coldRate, SenderRank: n.placeFor, Limits: n.limits, Now: time.Now}
+	n.metrics.registerLimitedBackends(n.limits.Count)
+	pacer := &pacing.Limiter{ColdRate: n.coldRate, SenderRank: n.rankFor, Limits: n.limits, Now: time.Now}
 	n.forward = &forward.Forwarder{
 		Policy:       n.policy.Load,
 		Servers:      func(service string) []*fleet.Server { return n.registry.View().ByService[service] },
-		Budget:       n.keeper,
+		Budget:       n.grants,
 		Retries:      n.retries,
-		Quarantine:   n.held,
-		ReportCrash:  n.report,
+		Quarantine:   n.quarantine,
+		ReportCrash:  n.reportQuarantined,
 		Chooser:      balance.NewChooser(s.FailureDomain, pacer, nil),
 		RateLimits:   n.limits,
 		PriorityGate: &pacing.PriorityGate{Now: time.Now},
 		Backend:      n.client,
-		Limits:       limit.New(n.routers, nil),
+		Limits:       limit.New(n.routerCount, nil),
 		Log:          log,
 		Metrics:      n.metrics,
 	}
@@ -190,25 +190,25 @@
 
 // Reload puts changed settings in force. Listen addresses stay as they are.
 func (n *Node) Reload(s *Settings) {
-	n.retries.Set(retryLimits(s), n.sharers())
+	n.retries.Set(retryLimits(s), n.retryShares())
 	n.log.Emit(event.SettingsReloaded, slog.Float64("retry_ratio", s.RetryRatio), slog.Float64("retry_extra", s.RetryExtra))
 }
 
-// strangerFor is how long a router that started may miss itself in the list of
+// maxMembershipWait is how long a router that started may miss itself in the list of
 // routers before it draws all the same.
-const strangerFor = 3 * time.Second
+const maxMembershipWait = 3 * time.Second
 
-// knowsFleet says whether this router has seen the list of routers since it entered
+// membershipKnown says whether this router has seen the list of routers since it entered
 // it. Before that each router takes itself for the home of all accounts, and all of
 // them together would draw the whole of each budget.
-func (n *Node) knowsFleet() bool {
-	return time.Since(n.born) > strangerFor || n.members.Has(MemberPrefix+n.settings.VM)
+func (n *Node) membershipKnown() bool {
+	return time.Since(n.createdAt) > maxMembershipWait || n.members.Has(MemberPrefix+n.settings.VM)
 }
 
 // budgets lists the metered accounts and what they paid for.
 func (n *Node) budgets() map[string]int64 {
 	p := n.policy.Load()
-	if p == nil || !n.knowsFleet() {
+	if p == nil || !n.membershipKnown() {
 		return nil
 	}
 	paid := make(map[string]int64, len(p.Accounts))
@@ -220,26 +220,26 @@
 	return paid
 }
 
-// routers is how many routers live, as far as known.
-func (n *Node) routers() int {
+// routerCount is how many routerCount live, as far as known.
+func (n *Node) routerCount() int {
 	return max(1, len(n.members.List()))
 }
 
-// sharers is the number of routers to divide the common part of the retry budget
+// retryShares is the number of routers to divide the common part of the retry budget
 // by: some more than live, for those that join before all know of them.
-func (n *Node) sharers() int {
-	const joining = 1.5
-	return int(joining*float64(n.routers())) + 1
+func (n *Node) retryShares() int {
+	const joinMargin = 1.5
+	return int(joinMargin*float64(n.routerCount())) + 1
 }
 
-// informed says whether this router knows where requests go.
-func (n *Node) informed() bool {
+// hasRoutingData says whether this router knows where requests go.
+func (n *Node) hasRoutingData() bool {
 	return n.policy.Load() != nil && n.registry.View().Total > 0
 }
 
 // Ready says whether callers should come.
 func (n *Node) Ready() bool {
-	return n.informed() && n.knowsFleet() && !n.stopping.Load()
+	return n.hasRoutingData() && n.membershipKnown() && !n.stopping.Load()
 }
 
 func (n *Node) self() fleet.Member {
@@ -270,41 +270,41 @@
 			others = append(others, m)
 		}
 	}
-	if n.Ready() && (len(others) == 0 || !n.keeper.Isolated()) {
+	if n.Ready() && (len(others) == 0 || !n.grants.Isolated()) {
 		others = append(others, n.self())
 	}
 	return entry.Choose(others, domain, caller)
 }
 
-// stopTakes is how long a stopping router still takes requests of any length:
+// acceptAllTime is how long a stopping router still takes requests of any length:
 // callers come until what they were told of addresses is old. Later it takes only
 // those that surely end before the process does.
-const stopTakes = 2500 * time.Millisecond
+const acceptAllTime = 2500 * time.Millisecond
 
 func (n *Node) serve(ctx context.Context, r *request.Request, caller forward.Caller) {
-	n.inHand.Add(1)
-	defer n.inHand.Add(-1)
-	defer n.tellPanic(caller)
-	if n.leaving.Load() || n.stopping.Load() && !n.endsInTime(r) {
+	n.inFlight.Add(1)
+	defer n.inFlight.Add(-1)
+	defer n.abortOnPanic(caller)
+	if n.refusing.Load() || n.stopping.Load() && !n.finishesInTime(r) {
 		n.forward.Refuse(r, caller, forward.NewRefusal(forward.RouterStopping))
 		return
 	}
 	n.forward.Serve(ctx, r, caller)
 }
 
-// tellPanic ends an answer after a fault of the program. The HTTP library would recover
+// abortOnPanic ends an answer after a fault of the program. The HTTP library would recover
 // it in silence: nobody would learn of it.
-func (n *Node) tellPanic(caller forward.Caller) {
+func (n *Node) abortOnPanic(caller forward.Caller) {
 	if cause := recover(); cause != nil {
 		n.log.EmitPanic("the serving of a request", cause)
 		caller.Abort()
 	}
 }
 
-// endsInTime says whether a stopping router may still take a request.
-func (n *Node) endsInTime(r *request.Request) bool {
-	since := time.Since(time.UnixMilli(n.stoppedAt.Load()))
-	if since < stopTakes {
+// finishesInTime says whether a stopping router may still take a request.
+func (n *Node) finishesInTime(r *request.Request) bool {
+	since := time.Since(time.UnixMilli(n.stopStartedAt.Load()))
+	if since < acceptAllTime {
 		return true
 	}
 	p := n.policy.Load()
@@ -312,7 +312,7 @@
 		return false
 	}
 	route := p.Route(r.Host, r.Path)
-	left := n.settings.Grace - returnTime - since
+	left := n.settings.Grace - grantReturnTime - since
 	return route != nil && route.Timeout > 0 && route.Timeout < left
 }
 
@@ -336,7 +336,7 @@
 		tasks.Go(l.serve)
 	}
 	tasks.Go(n.servePeers)
-	n.follow(background, &tasks)
+	n.startBackgroundTasks(background, &tasks)
 	n.log.Emit(event.ProcessStarted, slog.String("callers", n.settings.Callers), slog.String("incarnation", n.incarnation))
 	<-ctx.Done()
 	n.stop()
@@ -346,7 +346,7 @@
 }
 
 func (n *Node) servePeers() {
-	if err := peers.Serve(n.peerListener, n.keeper, n, n.log); !errors.Is(err, net.ErrClosed) {
+	if err := peers.Serve(n.peerListener, n.grants, n, n.log); !errors.Is(err, net.ErrClosed) {
 		n.log.Emit(event.ListenerFailed, slog.String("address", n.settings.Peers), slog.Any(event.KeyCause, err))
 	}
 }
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -20,32 +20,32 @@
 // differ for a while cost some calls, since a router that does not follow the store itself
 // says so to those who ask it, and they ask the store.
 
-// readersFor is one router that follows the store for so many of its failure domain: each
+// routersPerStoreReader is one router that follows the store for so many of its failure domain: each
 // follower costs it some six small calls a second, a thousandth of a core.
-const readersFor = 32
+const routersPerStoreReader = 32
 
-// readerPart is the part of a failure domain's largest capacity that its readers have at
+// minReaderCapacityFraction is the part of a failure domain's largest capacity that its readers have at
 // least. A reader passes each version of the configuration on to all its followers: that
 // fills the link of a small VM for seconds, its own reads of the store run out of time, and it
 // serves by an old version for as long.
-const readerPart = 0.5
+const minReaderCapacityFraction = 0.5
 
-// readers are the routers that follow the store for a failure domain, of all routers that
+// storeReaders are the routers that follow the store for a failure domain, of all routers that
 // take callers.
-func readers(members []fleet.Member, domain string) []fleet.Member {
-	var near []fleet.Member
+func storeReaders(members []fleet.Member, domain string) []fleet.Member {
+	var candidates []fleet.Member
 	largest := 0.0
 	for _, m := range members {
 		if m.Domain == domain && m.Peer != "" {
-			near = append(near, m)
+			candidates = append(candidates, m)
 			largest = max(largest, m.Capacity)
 		}
 	}
-	followed := 1 + len(near)/readersFor
-	near = slices.DeleteFunc(near, func(m fleet.Member) bool { return m.Capacity < readerPart*largest })
+	count := 1 + len(candidates)/routersPerStoreReader
+	candidates = slices.DeleteFunc(candidates, func(m fleet.Member) bool { return m.Capacity < minReaderCapacityFraction*largest })
 	const key = "follows the store"
-	sort.Slice(near, func(i, j int) bool { return near[i].Rank(key) < near[j].Rank(key) })
-	return near[:min(len(near), followed)]
+	sort.Slice(candidates, func(i, j int) bool { return candidates[i].Rank(key) < candidates[j].Rank(key) })
+	return candidates[:min(len(candidates), count)]
 }
 
 // relay is where this router learns from; it implements store.Relay.
@@ -73,7 +73,7 @@
 	if !listed {
 		return nil
 	}
-	chosen := readers(members, r.node.settings.FailureDomain)
+	chosen := storeReaders(members, r.node.settings.FailureDomain)
 	for _, m := range chosen {
 		if m.Name == own {
 			return nil
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -123,7 +123,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks conc.WaitGroup
 	tasks.Go(n.servePeers)
-	n.followStore(ctx, &tasks)
+	n.startFollowers(ctx, &tasks)
 	f.Cleanup(func() {
 		cancel()
 		_ = n.peerListener.Close() // servePeers ends with it
@@ -205,7 +205,7 @@
 		domain := fmt.Sprint("zone-", i%2)
 		members = append(members, fleet.Member{Name: fmt.Sprint("vm-", i), Peer: fmt.Sprint(i), Domain: domain, Capacity: 1})
 	}
-	chosen := readers(members, "zone-1")
+	chosen := storeReaders(members, "zone-1")
 	qt.Assert(t, chosen, qt.HasLen, 2)
 	for _, m := range chosen {
 		qt.Assert(t, m.Domain, qt.Equals, "zone-1")
@@ -216,8 +216,8 @@
 			without = append(without, m)
 		}
 	}
-	qt.Assert(t, readers(without, "zone-1")[0], qt.Equals, chosen[1], qt.Commentf("the others stay"))
-	qt.Assert(t, readers(members, "zone-9"), qt.HasLen, 0)
+	qt.Assert(t, storeReaders(without, "zone-1")[0], qt.Equals, chosen[1], qt.Commentf("the others stay"))
+	qt.Assert(t, storeReaders(members, "zone-9"), qt.HasLen, 0)
 }
 
 // Guards against requests to an evacuated domain by a router that starts in an outage.
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -51,9 +51,9 @@
 	MemoryMB int
 }
 
-// entryTTLDefault lets callers leave a stopped router within a second or two, at
+// defaultEntryTTL lets callers leave a stopped router within a second or two, at
 // one small call per caller and second.
-const entryTTLDefault = 1.5
+const defaultEntryTTL = 1.5
 
 // LoadSettings reads and checks a settings file.
 func LoadSettings(path string) (*Settings, error) {
@@ -83,11 +83,11 @@
 		Store:         p.address("store", "address"),
 		Drain:         time.Duration(p.number("store", "drain_ms", 0)) * time.Millisecond,
 		Grace:         p.seconds("router", "grace_s", 0),
-		EntryTTL:      p.seconds("router", "entry_ttl_s", entryTTLDefault),
+		EntryTTL:      p.seconds("router", "entry_ttl_s", defaultEntryTTL),
 		RetryRatio:    p.number("retries", "ratio", 0),
 		RetryExtra:    p.number("retries", "extra", 0),
 		RetryWindow:   p.seconds("retries", "window_s", 0),
-		Capacity:      capacity(p.number("router", "cpu_share", unstated), p.number("router", "link_mbps", unstated)),
+		Capacity:      capacity(p.number("router", "cpu_share", unset), p.number("router", "link_mbps", unset)),
 		MemoryMB:      int(p.number("router", "memory_mb", 0)),
 	}
 	if p.err != nil {
@@ -96,17 +96,17 @@
 	return s, nil
 }
 
-// unstated stands for a limit that the settings don't tell.
-const unstated = 1e9
+// unset stands for a limit that the settings don't tell.
+const unset = 1e9
 
-// linkPerCore is the Mbit/s that one core of forwarding fills: a request of 40 KB, in and
+// linkMbpsPerCore is the Mbit/s that one core of forwarding fills: a request of 40 KB, in and
 // out, takes about a millisecond of a core and 0.6 Mbit.
-const linkPerCore = 250
+const linkMbpsPerCore = 250
 
 // capacity is what a VM can carry, by its processor or its link; 0 if neither is told.
 func capacity(cpuShare, linkMbps float64) float64 {
-	least := min(cpuShare, linkMbps/linkPerCore)
-	if least > unstated/linkPerCore/2 {
+	least := min(cpuShare, linkMbps/linkMbpsPerCore)
+	if least > unset/linkMbpsPerCore/2 {
 		return 0
 	}
 	return least
@@ -118,9 +118,9 @@
 	err  error
 }
 
-func (p *parser) fail(section, key, what string) {
+func (p *parser) fail(section, key, problem string) {
 	if p.err == nil {
-		p.err = errors.Wrapf(ErrInvalidSettings, "[%s] %s: %s", section, key, what)
+		p.err = errors.Wrapf(ErrInvalidSettings, "[%s] %s: %s", section, key, problem)
 	}
 }
 
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -10,56 +10,56 @@
 
 // Planned stop.
 const (
-	// lingerLeast is how long a stopping router goes on taking connections: callers
+	// minAcceptTime is how long a stopping router goes on taking connections: callers
 	// that were told its address come until their answer is old.
-	lingerLeast = 3500 * time.Millisecond
-	// returnTime is kept free at the end, to return grants and end in time.
-	returnTime = 700 * time.Millisecond
-	stopPoll   = 25 * time.Millisecond
+	minAcceptTime = 3500 * time.Millisecond
+	// grantReturnTime is kept free at the end, to return grants and end in time.
+	grantReturnTime  = 700 * time.Millisecond
+	stopPollInterval = 25 * time.Millisecond
 )
 
 // stop leaves the directory, lets requests end, returns the grants.
 func (n *Node) stop() {
-	began := time.Now()
-	n.stoppedAt.Store(began.UnixMilli())
+	start := time.Now()
+	n.stopStartedAt.Store(start.UnixMilli())
 	n.stopping.Store(true)
-	n.keeper.StopAccepting()
-	close(n.stopNotice)
-	n.log.Emit(event.DrainStarted, slog.Int64("in_hand", n.inHand.Load()))
-	end := began.Add(n.settings.Grace - returnTime)
-	for time.Now().Before(end) {
-		if time.Since(began) > lingerLeast && n.inHand.Load() == 0 {
+	n.grants.StopAccepting()
+	close(n.stopSignal)
+	n.log.Emit(event.DrainStarted, slog.Int64("in_hand", n.inFlight.Load()))
+	deadline := start.Add(n.settings.Grace - grantReturnTime)
+	for time.Now().Before(deadline) {
+		if time.Since(start) > minAcceptTime && n.inFlight.Load() == 0 {
 			break
 		}
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
-	n.refuseAll(end)
-	ctx, cancel := context.WithTimeout(context.Background(), returnTime/2)
+	n.refuseNewRequests(deadline)
+	ctx, cancel := context.WithTimeout(context.Background(), grantReturnTime/2)
 	defer cancel()
-	if err := n.keeper.ReturnGrants(ctx); err != nil {
+	if err := n.grants.ReturnGrants(ctx); err != nil {
 		n.log.Emit(event.DrawFailed, slog.Any(event.KeyCause, err))
-		n.handOver()
+		n.handOverGrants()
 	}
-	n.log.Emit(event.DrainFinished, slog.Int64("in_hand", n.inHand.Load()), slog.Int64("ms", time.Since(began).Milliseconds()))
+	n.log.Emit(event.DrainFinished, slog.Int64("in_hand", n.inFlight.Load()), slog.Int64("ms", time.Since(start).Milliseconds()))
 }
 
-// refuseAll takes no request any more, and waits for those that came just before, until
+// refuseNewRequests takes no request any more, and waits for those that came just before, until
 // end at the latest. Without it a request that comes while the grants are returned is cut
 // off in its run.
-func (n *Node) refuseAll(end time.Time) {
-	n.leaving.Store(true)
-	for time.Now().Before(end) && n.inHand.Load() > 0 {
-		time.Sleep(stopPoll)
+func (n *Node) refuseNewRequests(deadline time.Time) {
+	n.refusing.Store(true)
+	for time.Now().Before(deadline) && n.inFlight.Load() > 0 {
+		time.Sleep(stopPollInterval)
 	}
 }
 
-// handOver gives what can't be returned to another router.
-func (n *Node) handOver() {
+// handOverGrants gives what can't be returned to another router.
+func (n *Node) handOverGrants() {
 	others := n.peerAddresses()
 	if len(others) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), returnTime/3)
+	ctx, cancel := context.WithTimeout(context.Background(), grantReturnTime/3)
 	defer cancel()
-	n.keeper.HandOver(ctx, others[0])
+	n.grants.HandOver(ctx, others[0])
 }
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -32,8 +32,8 @@
 func TestRouterThatLeavesTakesNothing(t *testing.T) {
 	n := New(&Settings{VM: "vm-0", Grace: 8 * time.Second}, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
 	n.stopping.Store(true)
-	n.stoppedAt.Store(time.Now().UnixMilli()) // long requests are still taken
-	n.leaving.Store(true)
+	n.stopStartedAt.Store(time.Now().UnixMilli()) // long requests are still taken
+	n.refusing.Store(true)
 	caller := &refused{C: qt.New(t)}
 	n.serve(context.Background(), &request.Request{ID: "r1"}, caller)
 	qt.Assert(t, caller.cause, qt.Equals, forward.RouterStopping)
@@ -42,18 +42,18 @@
 // Guards against grants returned before the last request has ended.
 func TestLastRequestIsWaitedFor(t *testing.T) {
 	n := New(&Settings{VM: "vm-0"}, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
-	n.inHand.Store(1)
+	n.inFlight.Store(1)
 	var ended atomic.Bool
 	waited := make(chan bool)
 	go func() {
-		n.refuseAll(time.Now().Add(time.Hour))
+		n.refuseNewRequests(time.Now().Add(time.Hour))
 		waited <- ended.Load()
 	}()
-	for !n.leaving.Load() {
+	for !n.refusing.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	ended.Store(true)
-	n.inHand.Store(0)
+	n.inFlight.Store(0)
 	qt.Assert(t, <-waited, qt.IsTrue)
 }
 
@@ -70,7 +70,7 @@
 		_, _ = io.WriteString(w, "second half") // as above
 	})}
 	server.RegisterOnShutdown(func() { close(closing) })
-	l := &listener{net: open, server: server, log: event.Discard()}
+	l := &listener{ln: open, server: server, log: event.Discard()}
 	go l.serve()
 	answered := make(chan string)
 	go func() {
--- a/internal/node/stored_test.go
+++ b/internal/node/stored_test.go
@@ -11,7 +11,7 @@
 // version don't find.
 func TestEntriesKeepTheirStoredForm(t *testing.T) {
 	wireform.Compare(t, "stored.golden", []string{
-		"keys " + MemberPrefix + " " + brokenPrefix + " " + fleetPrefix + " " + BudgetPrefix,
+		"keys " + MemberPrefix + " " + quarantinePrefix + " " + fleetPrefix + " " + BudgetPrefix,
 		"router " + wireform.JSON(reflect.TypeFor[MemberRecord]()),
 	})
 }
--- a/internal/node/warm.go
+++ b/internal/node/warm.go
@@ -17,85 +17,85 @@
 // or soon after.
 
 const (
-	// listedLeast is how long a router is in the list before it counts on being known.
-	listedLeast = fleetCheck + 500*time.Millisecond
-	// listOldMost is the greatest age of the list in health.
-	listOldMost = fleetCheck + 400*time.Millisecond
+	// minListedTime is how long a router is in the list before it counts on being known.
+	minListedTime = fleetCheckAfter + 500*time.Millisecond
+	// maxListAge is the greatest age of the list in health.
+	maxListAge = fleetCheckAfter + 400*time.Millisecond
 )
 
-// listing is what a router knows of its own place in the list of routers. It is safe for
+// membership is what a router knows of its own place in the list of routers. It is safe for
 // concurrent use.
-type listing struct {
+type membership struct {
 	mu sync.Mutex
-	// since is when the own entry was first seen there; zero: it is not there.
-	since time.Time
+	// listedSince is when the own entry was first seen there; zero: it is not there.
+	listedSince time.Time
 	// asOf is the moment whose list is known at the least.
 	asOf time.Time
 }
 
-// confirmed takes that the list is known as it was at a moment.
-func (l *listing) confirmed(asOf time.Time) {
+// confirm takes that the list is known as it was at a moment.
+func (l *membership) confirm(asOf time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.asOf = asOf
 }
 
-// note takes whether the own entry is in the list.
-func (l *listing) note(listed bool, now time.Time) {
+// setListed takes whether the own entry is in the list.
+func (l *membership) setListed(listed bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case !listed:
-		l.since = time.Time{}
-	case l.since.IsZero():
-		l.since = now
+		l.listedSince = time.Time{}
+	case l.listedSince.IsZero():
+		l.listedSince = now
 	}
 }
 
-// sure says whether all other routers know this one, and it them.
-func (l *listing) sure(now time.Time) bool {
+// stable says whether all other routers know this one, and it them.
+func (l *membership) stable(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.since.IsZero() && now.Sub(l.since) >= listedLeast && now.Sub(l.asOf) <= listOldMost
+	return !l.listedSince.IsZero() && now.Sub(l.listedSince) >= minListedTime && now.Sub(l.asOf) <= maxListAge
 }
 
-func (n *Node) noteListed() {
-	n.listing.note(n.members.Has(MemberPrefix+n.settings.VM), n.now())
+func (n *Node) updateMembership() {
+	n.membership.setListed(n.members.Has(MemberPrefix+n.settings.VM), n.now())
 }
 
 // now is a clock that goes on while the VM is suspended: a router that wakes must not take
 // its list for a new one.
 func (n *Node) now() time.Time {
-	if n.dialect.Now == nil {
+	if n.env.Now == nil {
 		return time.Now()
 	}
-	return n.dialect.Now()
+	return n.env.Now()
 }
 
-// placeFor is this router's rank among all that send to a server that bears few requests, by
+// rankFor is this router's rank among all that send to a server that bears few requests, by
 // the server's start.
-func (n *Node) placeFor(start string) pacing.SenderRank {
-	if n.stopping.Load() || !n.listing.sure(n.now()) {
+func (n *Node) rankFor(start string) pacing.SenderRank {
+	if n.stopping.Load() || !n.membership.stable(n.now()) {
 		return pacing.SenderRank{}
 	}
 	members, version := n.members.Snapshot()
-	return n.places.get(rankedFrom{version: version}, start, func() pacing.SenderRank { return n.place(members, "sends to "+start) })
+	return n.serverRanks.get(fleetState{version: version}, start, func() pacing.SenderRank { return n.ownRank(members, "sends to "+start) })
 }
 
-// place works out this router's rank for a key.
-func (n *Node) place(members []fleet.Member, key string) pacing.SenderRank {
-	place := pacing.SenderRank{Total: 1, Valid: true}
-	own := n.self().Rank(key)
+// ownRank works out this router's rank for a key.
+func (n *Node) ownRank(members []fleet.Member, key string) pacing.SenderRank {
+	ownRank := pacing.SenderRank{Total: 1, Valid: true}
+	ownScore := n.self().Rank(key)
 	for _, m := range members {
 		if m.Name == n.settings.VM || m.Peer == "" {
 			continue
 		}
-		place.Total++
-		if m.Rank(key) < own {
-			place.Position++
+		ownRank.Total++
+		if m.Rank(key) < ownScore {
+			ownRank.Position++
 		}
 	}
-	return place
+	return ownRank
 }
 
 // coldRate is the requests a second that a service's cold servers bear; 0: no bound.
--- a/internal/node/warm_test.go
+++ b/internal/node/warm_test.go
@@ -41,13 +41,13 @@
 	}
 	for _, n := range routers {
 		(&fleetSink{node: n}).Reset(items, store.Silence{})
-		n.listing.confirmed(w.now)
+		n.membership.confirm(w.now)
 	}
 }
 
 // isFirst says whether a router takes itself for the first in rank for a server.
 func isFirst(n *Node, server string) bool {
-	place := n.placeFor(server)
+	place := n.rankFor(server)
 	return place.Valid && place.Position == 0
 }
 
@@ -67,7 +67,7 @@
 	for _, routers := range []int{8, 80, 195} {
 		w := newWarmers(t, routers)
 		w.learn(w.nodes, w.nodes)
-		w.now = w.now.Add(listedLeast)
+		w.now = w.now.Add(minListedTime)
 		w.learn(w.nodes, w.nodes)
 		used := map[*Node]bool{}
 		for i := range 40 {
@@ -86,10 +86,10 @@
 		w.learn([]*Node{n}, []*Node{n})
 	}
 	w.Assert(w.senders("server"), qt.HasLen, 0)
-	w.now = w.now.Add(fleetCheck)
+	w.now = w.now.Add(fleetCheckAfter)
 	w.learn(w.nodes, w.nodes)
 	w.Assert(w.senders("server"), qt.HasLen, 0)
-	w.now = w.now.Add(listedLeast - fleetCheck)
+	w.now = w.now.Add(minListedTime - fleetCheckAfter)
 	w.learn(w.nodes, w.nodes)
 	w.Assert(w.senders("server"), qt.HasLen, 1)
 }
@@ -98,7 +98,7 @@
 func TestSenderThatLostTheStoreStops(t *testing.T) {
 	w := newWarmers(t, 80)
 	w.learn(w.nodes, w.nodes)
-	w.now = w.now.Add(listedLeast)
+	w.now = w.now.Add(minListedTime)
 	w.learn(w.nodes, w.nodes)
 	lost := w.senders("server")[0]
 	var others []*Node
@@ -107,10 +107,10 @@
 			others = append(others, n)
 		}
 	}
-	w.now = w.now.Add(entryLease)
+	w.now = w.now.Add(entryLeaseTTL)
 	w.learn(others, others)
 	w.Assert(len(w.senders("server")) <= 2, qt.IsTrue)
-	w.now = w.now.Add(listOldMost - entryLease + time.Millisecond)
+	w.now = w.now.Add(maxListAge - entryLeaseTTL + time.Millisecond)
 	w.learn(others, others)
 	w.Assert(w.senders("server"), qt.HasLen, 1)
 	w.Assert(isFirst(lost, "server"), qt.IsFalse)
@@ -125,7 +125,7 @@
 func TestStoppingRouterIsNoSender(t *testing.T) {
 	w := newWarmers(t, 1)
 	w.learn(w.nodes, w.nodes)
-	w.now = w.now.Add(listedLeast)
+	w.now = w.now.Add(minListedTime)
 	w.learn(w.nodes, w.nodes)
 	w.Assert(isFirst(w.nodes[0], "server"), qt.IsTrue)
 	w.nodes[0].stopping.Store(true)
