--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -53,7 +53,7 @@
 		server.SetLoad(reply.Load, time.Now())
 	}
 	server.MarkCold(time.Now(), reply.Cold)
-	t.f.RateLimits.Answered(server, reply.RateLimit, t.sentAt)
+	t.f.RateLimits.ObserveResponse(server, reply.RateLimit, t.sentAt)
 	if reply.NotExecuted || reply.Status == http.StatusMisdirectedRequest {
 		return t.rejectedBy(server, reply)
 	}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -93,7 +93,7 @@
 		return
 	}
 	defer done()
-	f.Retries.Request(r.Service)
+	f.Retries.RecordRequest(r.Service)
 	if refusal := f.obstacle(r); refusal != nil {
 		f.refuse(r, caller, *refusal, p, nil)
 		return
@@ -169,7 +169,7 @@
 		return func() {}, nil
 	}
 	c := r.Account.Contract
-	done, wait, ok := f.Limits.Admit(r.Account.Name, limit.Limits{PerSecond: c.RequestsPerSecond, Burst: c.Burst, InFlight: c.Concurrency})
+	done, wait, ok := f.Limits.Admit(r.Account.Name, limit.Limits{PerSecond: c.RequestsPerSecond, Burst: c.Burst, Concurrency: c.Concurrency})
 	if !ok {
 		return nil, &Refusal{Cause: OverLimit, RetryAfter: wait}
 	}
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,6 +1,6 @@
-// Package limit holds client accounts to the request rate and the concurrency of
-// their contracts. Each router enforces its share by itself: limits are approximate
-// over the fleet, and exact while one router serves an account.
+// Package limit enforces the request rate and concurrency limits of client accounts. Each
+// router enforces its share on its own, so over the fleet the limits are approximate; they are
+// exact with a single router.
 package limit
 
 import (
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Limits of one account over the whole fleet.
+// Limits are the limits of one account over the whole fleet.
 type Limits struct {
-	PerSecond float64
-	Burst     int // requests that may come at once beyond the rate
-	InFlight  int // requests in flight
+	PerSecond   float64 // requests per second
+	Burst       int     // requests that may arrive at once
+	Concurrency int     // requests in flight at once
 }
 
-// headroom is how many times its equal share a router admits: callers stay with few
-// routers, so that equal shares would refuse accounts far below their limits.
+// headroom is how many times an equal share of the limits a router admits. Callers tend to
+// stay with a few routers, so equal shares would refuse accounts far below their limits.
 const headroom = 2
 
 // Limiter admits requests at one router. It is safe for concurrent use.
@@ -28,15 +28,15 @@
 	accounts map[string]*account
 }
 
-// account is the use of one account at this router.
+// account is the usage of one account at this router.
 type account struct {
-	tokens     float64 // requests that may begin at once
+	tokens     float64 // requests that may start now
 	lastRefill time.Time
 	inFlight   int
 }
 
-// New makes a limiter. routers tells how many routers share the limits; a nil now
-// means time.Now.
+// New returns a limiter. routers returns how many routers share the limits; a nil now means
+// time.Now.
 func New(routers func() int, now func() time.Time) *Limiter {
 	if now == nil {
 		now = time.Now
@@ -44,13 +44,13 @@
 	return &Limiter{routers: routers, now: now, accounts: make(map[string]*account)}
 }
 
-// Admit takes one request of an account, or says after which time another try makes
-// sense. done must be called when an admitted request has ended.
+// Admit admits one request of an account, or returns the time after which to try again.
+// release must be called when an admitted request has ended.
 func (l *Limiter) Admit(name string, limits Limits) (release func(), wait time.Duration, ok bool) {
 	share := min(1, headroom/float64(max(1, l.routers())))
 	rate := limits.PerSecond * share
 	burst := max(1, float64(limits.Burst)*share)
-	maxInFlight := max(1, int(float64(limits.InFlight)*share))
+	maxInFlight := max(1, int(float64(limits.Concurrency)*share))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(name, rate, burst)
@@ -65,7 +65,7 @@
 	return func() { l.release(a) }, 0, true
 }
 
-// account brings an account's tokens up to now.
+// account returns an account with its tokens refilled up to now. l.mu must be held.
 func (l *Limiter) account(name string, rate, burst float64) *account {
 	now := l.now()
 	a := l.accounts[name]
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -12,7 +12,7 @@
 func TestRefusedUntilTheTimeThatWasTold(t *testing.T) {
 	now := time.Unix(0, 0)
 	l := New(func() int { return 1 }, func() time.Time { return now })
-	limits := Limits{PerSecond: 10, Burst: 2, InFlight: 5}
+	limits := Limits{PerSecond: 10, Burst: 2, Concurrency: 5}
 	for range limits.Burst {
 		_, _, ok := l.Admit("boatyard", limits)
 		qt.Assert(t, ok, qt.IsTrue)
@@ -30,7 +30,7 @@
 // Requests that run hold their places until they end.
 func TestConcurrencyIsGivenBack(t *testing.T) {
 	l := New(func() int { return 1 }, nil)
-	limits := Limits{PerSecond: 1e6, Burst: 1000, InFlight: 1}
+	limits := Limits{PerSecond: 1e6, Burst: 1000, Concurrency: 1}
 	done, _, ok := l.Admit("boatyard", limits)
 	qt.Assert(t, ok, qt.IsTrue)
 	_, _, ok = l.Admit("boatyard", limits)
@@ -45,7 +45,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		routers := rapid.IntRange(1, 9).Draw(t, "routers")
 		now := time.Unix(0, 0)
-		limits := Limits{PerSecond: 50, Burst: 1, InFlight: 1000}
+		limits := Limits{PerSecond: 50, Burst: 1, Concurrency: 1000}
 		admitted := 0
 		for range routers {
 			l := New(func() int { return routers }, func() time.Time { return now })
--- a/internal/pacing/cold_test.go
+++ b/internal/pacing/cold_test.go
@@ -101,5 +101,5 @@
 	qt.Assert(t, l.TryAcquire(server), qt.IsFalse)
 	now = now.Add(coldWindow)
 	qt.Assert(t, l.CanAcquire(server), qt.IsTrue)
-	qt.Assert(t, l.cold, qt.HasLen, 0)
+	qt.Assert(t, l.coldSends, qt.HasLen, 0)
 }
--- a/internal/pacing/limiter.go
+++ b/internal/pacing/limiter.go
@@ -1,7 +1,8 @@
-// Package pacing bounds what backend servers are sent that bear fewer requests than they
-// would get, over all routers together: cold ones, and those that name a limit. A few
-// routers in rank send to such a server and all others send it nothing, so the bound holds
-// without any talk between them.
+// Package pacing limits the request rate of all routers together to backend servers that
+// can't take their normal load: those that are cold (just started) and those that announce a
+// rate limit in their responses. For each such server all routers are ranked; only the first
+// few send to it, each a share of the rate, and the others send nothing. The rate therefore
+// holds without coordination between the routers on each request.
 package pacing
 
 import (
@@ -13,67 +14,69 @@
 )
 
 const (
-	// rampDuration is how long a new sender to a limited server sends at rampPart of its rate:
-	// longer than a router that doesn't know yet that it is none any more goes on sending.
-	// Together they stay below one and a half times the limit.
+	// rampDuration is how long a new sender to a rate-limited server is held to rampFraction
+	// of its share. It is longer than a replaced sender takes to learn that it must stop, so
+	// that the two together stay below 1.5 times the limit.
 	rampDuration = 3500 * time.Millisecond
 	rampFraction = 0.5
-	// minSenders and sendersPerRate are how many routers send to a limited server, and how
-	// many more for each request a second. Each may have one request saved up, and five may
-	// come beyond one and a half times the limit.
+	// The number of senders to a rate-limited server is at most minSenders plus sendersPerRPS
+	// for each request per second of the limit. Each sender may have one request accumulated,
+	// and a server tolerates five requests beyond 1.5 times its limit.
 	minSenders    = 3
 	sendersPerRPS = 0.25
-	// minSenderRate is the least rate of a sender, where there is more than one: with less it
-	// waits for seconds until it may send at all.
+	// minSenderRate is the minimum rate of each sender, in requests per second, if there is
+	// more than one. A lower rate would make a sender wait several seconds for each request.
 	minSenderRate = 0.4
-	// rotationInterval is how long the first senders in rank may leave a limit unconfirmed before
-	// the next in rank stand in: a sender without callers never hears of the limit's end.
+	// rotationInterval is the time without a new record of the limit after which the next
+	// routers in rank become the senders: a sender that gets no requests from callers never
+	// learns that the limit has ended.
 	rotationInterval = 25 * time.Second
-	// minProbeRate is the rate at which a server that takes nothing, or next to nothing,
-	// is asked whether it still does.
+	// minProbeRate is the minimum rate, in requests per second, at which a server whose limit
+	// is zero or close to it is probed for a change.
 	minProbeRate = 0.1
-	// probeInterval is how often a sender's request goes to a limited server whatever else speaks
-	// for another one, so that the end of the limit is heard.
+	// probeInterval is how often a sender prefers a rate-limited server over all others, so
+	// that the end of the limit is noticed.
 	probeInterval = time.Second
-	// rankCacheTTL is how long a rank is used again: each request looks at all servers.
+	// rankCacheTTL is how long a rank is cached; each request looks up the ranks for all
+	// servers.
 	rankCacheTTL = 50 * time.Millisecond
-	// maxDelay bounds the time after which callers are told to come again.
+	// maxDelay bounds the result of Delay for rate-limited servers.
 	maxDelay = 10 * time.Second
 )
 
-// SenderRank is where this router stands among all routers for a server.
+// SenderRank is this router's rank among all routers for sending to one server.
 type SenderRank struct {
-	Position int // routers before it in rank
-	Total    int // routers in rank
-	// Valid: all other routers know this one, and this one them, as of late.
+	Position int // 0 is the first
+	Total    int // number of ranked routers
+	// Valid is set if the rank can be relied on: this router's list of routers is recent, and
+	// this router has been in it long enough to be in the lists of all others.
 	Valid bool
 }
 
-// Limiter decides whether this router may send a request to a server that bears few. It is
-// safe for concurrent use.
+// Limiter decides whether this router may send a request to a paced server, which is one
+// that is cold or announces a rate limit. It is safe for concurrent use.
 type Limiter struct {
-	// ColdRate is the requests a second that a cold server of a service bears; 0: no bound.
+	// ColdRate returns the requests per second that a cold server of a service can take; 0
+	// means no limit.
 	ColdRate func(service string) float64
-	// SenderRank is this router's rank for a server, by the server's start.
-	SenderRank func(start string) SenderRank
-	// Limits are those that servers named.
+	// SenderRank returns this router's rank for a server.
+	SenderRank func(incarnation string) SenderRank
+	// Limits are the rate limits that servers announced.
 	Limits *Limits
-	// Now is the clock.
-	Now func() time.Time
+	Now    func() time.Time
 
-	mu      sync.Mutex
-	cold    map[string][]time.Time // sent within the window, by start of the server
-	buckets map[string]*bucket     // of limited servers, by start
-	ranks   map[string]cachedRank  // of late, by start
+	mu        sync.Mutex
+	coldSends map[string][]time.Time // requests within coldWindow, by incarnation
+	buckets   map[string]*bucket     // of rate-limited servers, by incarnation
+	ranks     map[string]cachedRank  // by incarnation
 }
 
-// cachedRank is a rank and when it was looked up.
 type cachedRank struct {
 	SenderRank
 	fetchedAt time.Time
 }
 
-// Bounded says whether a server bears few requests now.
+// Paced reports whether a server is cold or announces a rate limit.
 func (l *Limiter) Paced(s *fleet.Server) bool {
 	if _, limited := l.Limits.Lookup(s.Incarnation); limited {
 		return true
@@ -81,17 +84,18 @@
 	return l.isCold(s)
 }
 
-// Room says whether Take would allow a request to a bounded server.
+// CanAcquire reports whether TryAcquire would allow a request to a paced server.
 func (l *Limiter) CanAcquire(s *fleet.Server) bool {
 	return l.allow(s, false)
 }
 
-// Take asks for one request to a bounded server. It is counted if it is allowed.
+// TryAcquire reports whether a request to a paced server may be sent now, and counts it if so.
 func (l *Limiter) TryAcquire(s *fleet.Server) bool {
 	return l.allow(s, true)
 }
 
-// allow says whether a request is allowed, and counts it if it is to be taken.
+// allow reports whether a request may be sent now. If consume is set, an allowed request is
+// counted.
 func (l *Limiter) allow(s *fleet.Server, consume bool) bool {
 	now, cold := l.Now(), l.isCold(s)
 	limit, limited := l.Limits.Lookup(s.Incarnation)
@@ -109,7 +113,7 @@
 		}
 	}
 	if consume && cold {
-		l.cold[s.Incarnation] = append(l.cold[s.Incarnation], now)
+		l.coldSends[s.Incarnation] = append(l.coldSends[s.Incarnation], now)
 	}
 	if consume && limited {
 		b.tokens--
@@ -118,8 +122,8 @@
 	return true
 }
 
-// Due says whether a limited server is to be asked for its limit by the next request that
-// can go there.
+// ProbeDue reports whether the next request should go to a rate-limited server, to learn
+// whether the limit still holds.
 func (l *Limiter) ProbeDue(s *fleet.Server) bool {
 	limit, limited := l.Limits.Lookup(s.Incarnation)
 	if !limited {
@@ -132,7 +136,7 @@
 	return b != nil && b.tokens >= 1 && now.Sub(b.lastUse) >= probeInterval
 }
 
-// Wait is the time after which another request to a bounded server makes sense.
+// Delay returns the time after which another request to a paced server makes sense.
 func (l *Limiter) Delay(s *fleet.Server) time.Duration {
 	now := l.Now()
 	wait := time.Duration(0)
@@ -153,30 +157,32 @@
 	return max(wait, min(untilToken, maxDelay))
 }
 
-// rank is this router's rank as of a moment ago; the limiter is locked.
-func (l *Limiter) rank(start string, now time.Time) SenderRank {
-	known, found := l.ranks[start]
+// rank returns this router's rank, cached for rankCacheTTL. l.mu must be held.
+func (l *Limiter) rank(incarnation string, now time.Time) SenderRank {
+	known, found := l.ranks[incarnation]
 	if found && now.Sub(known.fetchedAt) < rankCacheTTL {
 		return known.SenderRank
 	}
 	if l.ranks == nil || len(l.ranks) >= maxTrackedServers {
 		l.ranks = make(map[string]cachedRank)
 	}
-	known = cachedRank{SenderRank: l.SenderRank(start), fetchedAt: now}
-	l.ranks[start] = known
+	known = cachedRank{SenderRank: l.SenderRank(incarnation), fetchedAt: now}
+	l.ranks[incarnation] = known
 	return known.SenderRank
 }
 
-// senders is how many routers send to a server with a limit, each its part of the limit. With
-// more of them more callers find one that may send; with a bounded number the requests that
-// each may have saved up stay below what is allowed beside the limit, whatever the fleet.
+// senders returns how many routers send to a server with a limit, each an equal share of it.
+// With more senders, more callers reach a router that may send. The number doesn't grow with
+// the fleet, since each sender may have a request accumulated and together these must stay
+// within what a server tolerates beyond its limit.
 func senders(perSecond float64) int {
 	maxSenders := minSenders + sendersPerRPS*perSecond
 	return max(1, int(math.Floor(min(maxSenders, perSecond/minSenderRate))))
 }
 
-// isSender says whether this router is one of those that send to a limited server. It never
-// is before the limit is recorded, since the routers take turns by the age of the record.
+// isSender reports whether this router is one of the senders to a rate-limited server. There
+// are none until the limit is recorded in the store: the senders rotate by the age of the
+// record, so each router needs it to know the current ones.
 func (l *Limiter) isSender(limit Limit, rank SenderRank, now time.Time) bool {
 	if !rank.Valid || limit.RecordedAt.IsZero() {
 		return false
@@ -187,43 +193,43 @@
 	return (rank.Position-firstPosition+rank.Total)%rank.Total < n
 }
 
-// bucket returns the allowance of a limited server as of now; nil: this router sends it
-// nothing. The limiter is locked.
-func (l *Limiter) bucket(start string, limit Limit, rank SenderRank, now time.Time) *bucket {
+// bucket returns the token bucket of a rate-limited server, refilled up to now, or nil if this
+// router isn't a sender. l.mu must be held.
+func (l *Limiter) bucket(incarnation string, limit Limit, rank SenderRank, now time.Time) *bucket {
 	if !l.isSender(limit, rank, now) {
-		delete(l.buckets, start)
+		delete(l.buckets, incarnation)
 		return nil
 	}
-	b := l.buckets[start]
+	b := l.buckets[incarnation]
 	if b == nil {
 		l.pruneBuckets()
 		b = &bucket{lastRefill: now, senderSince: now}
-		l.buckets[start] = b
+		l.buckets[incarnation] = b
 	}
 	n := min(senders(limit.PerSecond), rank.Total)
 	b.refill(max(limit.PerSecond, minProbeRate)/float64(n), now)
 	return b
 }
 
-// pruneBuckets drops those of servers that are not limited any more.
+// pruneBuckets removes the buckets of servers that are no longer rate-limited.
 func (l *Limiter) pruneBuckets() {
 	if l.buckets == nil {
 		l.buckets = make(map[string]*bucket)
 	}
-	for start := range l.buckets {
-		if _, limited := l.Limits.Lookup(start); !limited {
-			delete(l.buckets, start)
+	for incarnation := range l.buckets {
+		if _, limited := l.Limits.Lookup(incarnation); !limited {
+			delete(l.buckets, incarnation)
 		}
 	}
 }
 
-// bucket is an allowance of one request at most that fills with time. It begins empty: the
-// router that sent before may have used its own a moment ago.
+// bucket is a token bucket with a capacity of one request. It starts empty, since the
+// previous sender may have just used its own token.
 type bucket struct {
 	tokens      float64
 	lastRefill  time.Time
 	senderSince time.Time // when this router became a sender
-	lastUse     time.Time // when it was last used; zero: never
+	lastUse     time.Time // zero if never
 }
 
 func (b *bucket) refill(perSecond float64, now time.Time) {
--- a/internal/pacing/limits.go
+++ b/internal/pacing/limits.go
@@ -15,87 +15,92 @@
 )
 
 const (
-	// endGracePeriod is how long after the last word of a limit a request must have been sent for
-	// its answer to end the limit. An answer that was under way when the limit began, or a
-	// server that names it in most answers only, doesn't end it.
+	// endGracePeriod is how long after the limit was last reported or recorded a request must
+	// have been sent for a response without a limit to end it. Otherwise the limit would end
+	// with a response that was in flight when it began, or when the server omits it from
+	// some responses.
 	endGracePeriod = 2 * time.Second
-	// maxRecordLag is the greatest time that a record takes to be known at all routers. What a
-	// router heard from the server itself within it may be newer than a record of the end.
+	// maxRecordLag is the maximum time until a record has reached all routers. A report from
+	// the server itself within that time may be newer than the record and takes precedence.
 	maxRecordLag = 3 * time.Second
-	// rateTolerance is the relative difference below which two rates count as the same.
+	// rateTolerance is the relative difference up to which two rates count as equal.
 	rateTolerance = 0.1
-	// maxTrackedServers bounds the servers kept; some hundred bytes each.
+	// maxTrackedServers bounds the memory used, at a few hundred bytes per server.
 	maxTrackedServers = 8192
-	// unregisteredTTL is how long the limit of a server that isn't registered is kept.
+	// unregisteredTTL is how long the limit of an unregistered server is kept.
 	unregisteredTTL = time.Minute
 )
 
-// Limit is a server's limit as this router knows it.
+// Limit is a server's rate limit as this router knows it.
 type Limit struct {
 	PerSecond float64
-	// RecordedAt is when the fleet's record of it became known here; zero: there is none yet.
+	// RecordedAt is when this router learned of the limit's record in the store; zero if
+	// there is none yet.
 	RecordedAt time.Time
 }
 
-// Limits is what this router knows of the limits that backend servers name in their
-// answers. A router hears of a limit from the server, or from a record in the store that
-// another router wrote; so also those that are not to send anything learn of its end. It is
-// safe for concurrent use.
+// Limits tracks the rate limits that backend servers announce in their responses. A router
+// learns of a limit from the server itself, or from a record that another router wrote to the
+// store; the record also tells routers that send nothing to the server when the limit ends.
+// It is safe for concurrent use.
 type Limits struct {
 	log *event.Log
 	now func() time.Time
 
-	mu    sync.Mutex
-	known map[string]*limit // by start of the server
-	// inForce holds the limits in force, by start of the server. The map never changes.
+	mu     sync.Mutex
+	limits map[string]*limit // by incarnation of the server
+	// inForce holds the limits in force by incarnation of the server. The map is replaced, never
+	// changed, so that Lookup needs no lock.
 	inForce atomic.Pointer[map[string]Limit]
 	wake    chan struct{}
 }
 
-// limit is what is known of one server's.
+// limit is the state of one server's rate limit.
 type limit struct {
-	start     string
-	perSecond float64
-	// ended: the limit has ended. It is kept so that an older record can't bring it back.
+	incarnation string
+	perSecond   float64
+	// ended is set when the limit has ended. The entry is kept so that an older record can't
+	// restore it.
 	ended bool
-	// reported is when an answer to this router last named it; zero: none did.
+	// reported is when a response to this router last announced the limit; zero if none did.
 	reported time.Time
-	// endedLocally: this router found the end, and is to tell the others.
+	// endedLocally is set if this router noticed the end and has to record it.
 	endedLocally bool
-	// record is the last one known, and recorded when it became known; zero: none.
+	// record is the latest record, and recorded is when this router learned of it; zero if
+	// there is none.
 	record   Record
 	item     store.Item
 	recorded time.Time
 	pending  pending
 }
 
-// NewLimits makes an empty set. A nil now means time.Now.
+// NewLimits returns an empty Limits. A nil now means time.Now.
 func NewLimits(log *event.Log, now func() time.Time) *Limits {
 	if now == nil {
 		now = time.Now
 	}
-	l := &Limits{log: log, now: now, known: make(map[string]*limit), wake: make(chan struct{}, 1)}
+	l := &Limits{log: log, now: now, limits: make(map[string]*limit), wake: make(chan struct{}, 1)}
 	l.publish()
 	return l
 }
 
-// Lookup returns the limit in force of a server, by its start.
-func (l *Limits) Lookup(start string) (Limit, bool) {
+// Lookup returns the limit in force of the server with the given incarnation.
+func (l *Limits) Lookup(incarnation string) (Limit, bool) {
 	inForce := *l.inForce.Load()
 	if len(inForce) == 0 {
 		return Limit{}, false
 	}
-	limit, found := inForce[start]
+	limit, found := inForce[incarnation]
 	return limit, found
 }
 
-// Count is how many servers limit their requests.
+// Count returns the number of rate-limited servers.
 func (l *Limits) Count() int {
 	return len(*l.inForce.Load())
 }
 
-// Answered takes what an answer to a request says, and when that request was sent.
-func (l *Limits) Answered(s *fleet.Server, rateLimit fleet.RateLimit, sent time.Time) {
+// ObserveResponse updates a server's limit from a response. sent is when the request was sent.
+func (l *Limits) ObserveResponse(s *fleet.Server, rateLimit fleet.RateLimit, sent time.Time) {
 	if _, limited := l.Lookup(s.Incarnation); rateLimit.State == fleet.LimitInvalid || rateLimit.State == fleet.LimitAbsent && !limited {
 		return
 	}
@@ -110,15 +115,15 @@
 	l.notify()
 }
 
-// reported takes a limit that a server named to this router.
+// reported handles a response that announces a limit.
 func (l *Limits) reported(s *fleet.Server, perSecond float64) {
-	known := l.known[s.Incarnation]
-	if known == nil && len(l.known) >= maxTrackedServers {
+	known := l.limits[s.Incarnation]
+	if known == nil && len(l.limits) >= maxTrackedServers {
 		return
 	}
 	if known == nil {
-		known = &limit{start: s.Incarnation, ended: true}
-		l.known[s.Incarnation] = known
+		known = &limit{incarnation: s.Incarnation, ended: true}
+		l.limits[s.Incarnation] = known
 	}
 	if known.ended || !ratesEqual(known.perSecond, perSecond) {
 		l.log.Emit(event.BackendLimited, slog.String(event.KeyBackend, s.ID), slog.Float64("per_second", perSecond), slog.String("by", "answer"))
@@ -127,9 +132,9 @@
 	known.ended, known.endedLocally = false, false
 }
 
-// reportedNone takes that a server named no limit to this router.
+// reportedNone handles a response without a limit.
 func (l *Limits) reportedNone(s *fleet.Server, sent time.Time) {
-	known := l.known[s.Incarnation]
+	known := l.limits[s.Incarnation]
 	if known == nil || known.ended {
 		return
 	}
@@ -145,8 +150,8 @@
 		slog.Int64("named_ms", l.now().Sub(last).Milliseconds()))
 }
 
-// ApplyRecord takes a record that another router, or this one, wrote. It says whether the item is
-// one.
+// ApplyRecord updates a server's limit from a record that this or another router wrote. It
+// reports whether the item's key is that of a limit record; an invalid record is logged.
 func (l *Limits) ApplyRecord(item store.Item) bool {
 	if !isRecord(item.Key) {
 		return false
@@ -165,13 +170,13 @@
 }
 
 func (l *Limits) apply(item store.Item, record Record) {
-	known := l.known[record.Incarnation]
-	if known != nil && known.item.Revision >= item.Revision || known == nil && len(l.known) >= maxTrackedServers {
+	known := l.limits[record.Incarnation]
+	if known != nil && known.item.Revision >= item.Revision || known == nil && len(l.limits) >= maxTrackedServers {
 		return
 	}
 	if known == nil {
-		known = &limit{start: record.Incarnation, ended: true}
-		l.known[record.Incarnation] = known
+		known = &limit{incarnation: record.Incarnation, ended: true}
+		l.limits[record.Incarnation] = known
 	}
 	now := l.now()
 	known.record, known.item, known.recorded = record, item, now
@@ -193,12 +198,12 @@
 		slog.String("by", "record"), slog.String(event.KeyRouter, record.Router), slog.Int64("revision", int64(item.Revision)))
 }
 
-// Items returns the records of the limits in force, for another router.
+// Items returns the records of the limits in force, to be passed to another router.
 func (l *Limits) Items() []store.Item {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var items []store.Item
-	for _, known := range l.known {
+	for _, known := range l.limits {
 		if !known.ended && !known.recorded.IsZero() {
 			items = append(items, known.item)
 		}
@@ -206,30 +211,32 @@
 	return items
 }
 
-// Prune drops what is known of servers that are not registered any more.
-func (l *Limits) Prune(registered func(start string) bool) {
+// Prune removes entries that are older than unregisteredTTL, if their limit has ended or their
+// server is no longer registered.
+func (l *Limits) Prune(registered func(incarnation string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	old := func(at time.Time) bool { return now.Sub(at) > unregisteredTTL }
-	maps.DeleteFunc(l.known, func(start string, known *limit) bool {
-		return old(known.reported) && old(known.recorded) && (known.ended || !registered(start))
+	expired := func(at time.Time) bool { return now.Sub(at) > unregisteredTTL }
+	maps.DeleteFunc(l.limits, func(incarnation string, known *limit) bool {
+		return expired(known.reported) && expired(known.recorded) && (known.ended || !registered(incarnation))
 	})
 	l.publish()
 }
 
-// publish makes the view anew.
+// publish replaces the map that Lookup reads.
 func (l *Limits) publish() {
 	inForce := make(map[string]Limit)
-	for start, known := range l.known {
+	for incarnation, known := range l.limits {
 		if !known.ended {
-			inForce[start] = Limit{PerSecond: known.perSecond, RecordedAt: known.recordedAt()}
+			inForce[incarnation] = Limit{PerSecond: known.perSecond, RecordedAt: known.recordedAt()}
 		}
 	}
 	l.inForce.Store(&inForce)
 }
 
-// recordedAt is when the record of the limit in force became known; zero: there is none.
+// recordedAt returns when this router learned of the record of the limit in force, or zero if
+// there is no such record.
 func (k *limit) recordedAt() time.Time {
 	if k.record.Ended {
 		return time.Time{}
@@ -237,12 +244,12 @@
 	return k.recorded
 }
 
-// starts lists the servers known, in a fixed order.
-func (l *Limits) starts() []string {
-	return slices.Sorted(maps.Keys(l.known))
+// incarnations returns the tracked servers in sorted order.
+func (l *Limits) incarnations() []string {
+	return slices.Sorted(maps.Keys(l.limits))
 }
 
-// ratesEqual says whether two rates differ by little.
+// ratesEqual reports whether two rates are equal within rateTolerance.
 func ratesEqual(a, b float64) bool {
 	return math.Abs(a-b) <= rateTolerance*max(a, b)
 }
--- a/internal/pacing/limits_test.go
+++ b/internal/pacing/limits_test.go
@@ -40,7 +40,7 @@
 
 // answer is an answer to a request that was sent some time before.
 func (f *fixture) answer(said fleet.RateLimit, took time.Duration) {
-	f.limits.Answered(f.server, said, f.now.Add(-took))
+	f.limits.ObserveResponse(f.server, said, f.now.Add(-took))
 }
 
 func (f *fixture) hear(perSecond float64) {
@@ -185,7 +185,7 @@
 	registered = false
 	sweep()
 	f.Assert(f.limits.Count(), qt.Equals, 0)
-	f.Assert(f.limits.known, qt.HasLen, 0)
+	f.Assert(f.limits.limits, qt.HasLen, 0)
 }
 
 // Guards against waits that name no time, or another than the next place's.
--- a/internal/pacing/pending.go
+++ b/internal/pacing/pending.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// Pace of the records. All routers that heard of a limit want it recorded; they write in
-// rank, and whoever sees the record of another one writes none.
+// Every router that a server reports a limit to wants to record it. To avoid duplicate writes
+// each waits in proportion to its rank, and skips the write if another router's record arrives
+// meanwhile.
 const (
-	// writeStagger is the time between two routers in rank, and writeLast the longest wait.
+	// writeStagger is the additional wait per position in rank, up to maxWriteDelay.
 	writeStagger  = 100 * time.Millisecond
 	maxWriteDelay = 3 * time.Second
-	// refreshInterval is how often a limit that is still named is recorded again.
+	// refreshInterval is how often a limit that the server still announces is recorded again.
 	refreshInterval = 10 * time.Second
-	// initialRetryDelay is the wait after a write whose record isn't seen; it doubles up to retryMost.
+	// initialRetryDelay is the wait after a write whose record hasn't arrived. It doubles with
+	// each attempt, up to maxRetryDelay.
 	initialRetryDelay = 2 * time.Second
 	maxRetryDelay     = 32 * time.Second
-	// rankPollInterval is how often a router that doesn't know its rank looks again.
+	// rankPollInterval is how often a router without a valid rank checks it again.
 	rankPollInterval = 500 * time.Millisecond
 )
 
-// pending is a record to be written.
+// pending is the state of a record to be written.
 type pending struct {
-	// since is when it was first wanted; zero: none is.
+	// since is when the write was first needed; zero if none is.
 	since       time.Time
 	lastAttempt time.Time
 	attempts    int
 }
 
-// Wake is sent to when there may be another record to write.
+// Wake returns a channel that receives a value when NextWrite may have a new result.
 func (l *Limits) Wake() <-chan struct{} {
 	return l.wake
 }
@@ -33,19 +35,19 @@
 func (l *Limits) notify() {
 	select {
 	case l.wake <- struct{}{}:
-	default: // one is due already
+	default: // a wake-up is already pending
 	}
 }
 
-// NextWrite returns a record that is due to be written, or nil and the time after which to ask
-// again; zero: not before Wake. place tells this router's rank for a server.
-func (l *Limits) NextWrite(senderRank func(start string) SenderRank) (*Record, time.Duration) {
+// NextWrite returns a record that is due to be written, or nil and the time after which to call
+// it again; zero means not before Wake. senderRank returns this router's rank for a server.
+func (l *Limits) NextWrite(senderRank func(incarnation string) SenderRank) (*Record, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
 	wait := time.Duration(0)
-	for _, start := range l.starts() {
-		known := l.known[start]
+	for _, incarnation := range l.incarnations() {
+		known := l.limits[incarnation]
 		due, needed := known.due(now, senderRank)
 		if !needed {
 			continue
@@ -58,13 +60,13 @@
 		}
 		known.pending.lastAttempt = now
 		known.pending.attempts++
-		return &Record{Incarnation: start, PerSecond: known.perSecond, Ended: known.ended}, 0
+		return &Record{Incarnation: incarnation, PerSecond: known.perSecond, Ended: known.ended}, 0
 	}
 	return nil, wait
 }
 
-// due is when this router writes the record, if it wants one.
-func (k *limit) due(now time.Time, senderRank func(start string) SenderRank) (due time.Time, needed bool) {
+// due returns when this router has to write the record, and whether a write is needed at all.
+func (k *limit) due(now time.Time, senderRank func(incarnation string) SenderRank) (due time.Time, needed bool) {
 	if !k.needsWrite(now) {
 		k.pending = pending{}
 		if k.needsRefresh() {
@@ -72,7 +74,7 @@
 		}
 		return time.Time{}, false
 	}
-	rank := senderRank(k.start)
+	rank := senderRank(k.incarnation)
 	if !rank.Valid {
 		k.pending.since = now
 		return now.Add(rankPollInterval), true
@@ -90,7 +92,7 @@
 	return due, true
 }
 
-// needsWrite says whether the record should say something else than it does, or is old.
+// needsWrite reports whether the record is missing, wrong or due for a refresh.
 func (k *limit) needsWrite(now time.Time) bool {
 	recorded := !k.recorded.IsZero()
 	if k.ended {
@@ -103,7 +105,8 @@
 		k.needsRefresh() && now.Sub(k.recorded) >= refreshInterval
 }
 
-// needsRefresh says whether the limit was named to this router after it was recorded.
+// needsRefresh reports whether the server announced the limit to this router again after it was
+// recorded.
 func (k *limit) needsRefresh() bool {
 	return !k.ended && !k.recorded.IsZero() && k.reported.After(k.recorded)
 }
--- a/internal/pacing/record.go
+++ b/internal/pacing/record.go
@@ -12,22 +12,21 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// RecordPrefix holds the fleet's records of servers' limits, one a server.
+// RecordPrefix is the key prefix of the limit records in the store, one per server.
 const RecordPrefix = "chicory/limit/"
 
-// Record is the stored form of a server's limit.
+// Record is the stored form of a server's rate limit.
 type Record struct {
-	// Incarnation names the server.
 	Incarnation string `json:"server"`
-	// PerSecond is requests a second of all routers together.
+	// PerSecond is the requests per second from all routers together.
 	PerSecond float64 `json:"per_second"`
-	// Ended: the server names no limit any more.
+	// Ended is set when the server no longer announces a limit.
 	Ended bool `json:"over"`
-	// Router is the VM of who wrote it.
+	// Router is the VM of the router that wrote the record.
 	Router string `json:"router"`
 }
 
-// Key is where the record lies.
+// Key returns the record's key in the store.
 func (r Record) Key() string {
 	return RecordPrefix + strconv.FormatUint(xxhash.Sum64String(r.Incarnation), 16)
 }
@@ -35,7 +34,7 @@
 // Encode returns the stored form.
 func (r Record) Encode() ([]byte, error) {
 	value, err := json.Marshal(r)
-	return value, errors.Wrap(err, "record of a limit")
+	return value, errors.Wrap(err, "encode limit record")
 }
 
 func isRecord(key string) bool {
@@ -45,13 +44,13 @@
 func decodeRecord(item store.Item) (Record, error) {
 	record := Record{}
 	if err := json.Unmarshal(item.Value, &record); err != nil {
-		return Record{}, errors.Wrap(err, "record of a limit")
+		return Record{}, errors.Wrap(err, "decode limit record")
 	}
 	if record.Incarnation == "" || record.Key() != item.Key {
-		return Record{}, errors.Errorf("record of a limit: server %q is not the key's", record.Incarnation)
+		return Record{}, errors.Errorf("limit record: server %q does not match the key", record.Incarnation)
 	}
 	if !(record.PerSecond >= 0) || math.IsInf(record.PerSecond, 1) {
-		return Record{}, errors.Errorf("record of a limit: rate %v", record.PerSecond)
+		return Record{}, errors.Errorf("limit record: invalid rate %v", record.PerSecond)
 	}
 	return record, nil
 }
--- a/internal/pacing/world_test.go
+++ b/internal/pacing/world_test.go
@@ -209,7 +209,7 @@
 		case a.at.After(w.now):
 			rest = append(rest, a)
 		case a.life == a.router.limits && a.router.alive:
-			a.life.Answered(w.server, a.said, a.sent)
+			a.life.ObserveResponse(w.server, a.said, a.sent)
 			if a.said.State == fleet.LimitPresent && !a.sent.Before(w.named) && a.router.told.IsZero() {
 				a.router.told = w.now
 			}
--- a/internal/pacing/yield.go
+++ b/internal/pacing/yield.go
@@ -5,25 +5,24 @@
 	"time"
 )
 
-// yieldDuration is how long the few places of a service are kept for requests as urgent as one
-// that was refused for want of a place.
+// yieldDuration is how long after a refusal less urgent requests have to yield to requests that
+// are as urgent as the refused one.
 const yieldDuration = time.Second
 
-// urgencyLevels is how many ranks of urgency there are; 0 is first.
+// urgencyLevels is the number of urgency levels; 0 is the most urgent.
 const urgencyLevels = 10
 
-// PriorityGate keeps the places of a service whose servers all bear few requests for its urgent
-// requests: first come, first served would give them to whoever asks most often. It is safe
-// for concurrent use.
+// PriorityGate reserves the capacity of a service whose servers are all paced for its more
+// urgent requests. Without it the callers that retry most often would take the capacity. It is
+// safe for concurrent use.
 type PriorityGate struct {
-	// Now is the clock.
 	Now func() time.Time
 
 	mu          sync.Mutex
-	lastRefused map[string]*[urgencyLevels]time.Time // by service: the last refusal of each rank
+	lastRefused map[string]*[urgencyLevels]time.Time // by service and urgency level
 }
 
-// RecordRefusal notes that a request found no place.
+// RecordRefusal records that a request was refused because no server had capacity.
 func (g *PriorityGate) RecordRefusal(service string, urgency int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -36,7 +35,8 @@
 	g.lastRefused[service][urgencyLevel(urgency)] = g.Now()
 }
 
-// ShouldYield says whether a request is to leave a place to more urgent ones.
+// ShouldYield reports whether a request must leave the capacity to more urgent ones, of which
+// one was refused within yieldDuration.
 func (g *PriorityGate) ShouldYield(service string, urgency int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,4 +1,4 @@
-// Package retry bounds how often requests are sent a second time.
+// Package retry limits retries and quarantines requests that crash backend servers.
 package retry
 
 import (
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Limits of one service's repeats over all routers, in any window.
+// Limits bounds the retries of one service, over all routers and in any window.
 type Limits struct {
 	Window time.Duration
-	// Ratio is the repeats allowed for each request.
+	// Ratio is the number of retries allowed per request.
 	Ratio float64
-	// Extra is the repeats allowed beyond that, for all routers together.
+	// Extra is the number of retries allowed in addition, for all routers together.
 	Extra float64
 }
 
-// safetyMargin keeps each router below its share, for repeats that arrive late, in a
-// later window than the requests that allowed them.
+// safetyMargin keeps each router below its share, because a retry may reach the server in a
+// later window than the requests that allowed it.
 const safetyMargin = 0.8
 
-// Budget allows repeats out of this router's own requests, and its equal part of
-// Extra. Since each router keeps to its share, their sum keeps to the whole
-// without any talk between them. It is safe for concurrent use.
+// Budget is a router's retry budget: a fraction of its own requests plus an equal share of
+// Limits.Extra. Since each router stays within its share, the fleet stays within the limits
+// without coordination. It is safe for concurrent use.
 type Budget struct {
 	now func() time.Time
 
@@ -31,13 +31,14 @@
 	services map[string]*window
 }
 
-// window is the requests and repeats of one service within Limits.Window.
+// window holds the times of one service's requests and retries within Limits.Window.
 type window struct {
 	requests []time.Time
 	retries  []time.Time
 }
 
-// NewBudget makes a budget shared with routers-1 others. A nil now means time.Now.
+// NewBudget returns a budget; routers is the number of routers that share the limits. A nil
+// now means time.Now.
 func NewBudget(limits Limits, routers int, now func() time.Time) *Budget {
 	if now == nil {
 		now = time.Now
@@ -52,15 +53,15 @@
 	b.limits, b.routers = limits, max(1, routers)
 }
 
-// Request counts a caller's request for a service.
-func (b *Budget) Request(service string) {
+// RecordRequest counts a caller's request for a service.
+func (b *Budget) RecordRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
 	w.requests = append(w.requests, b.now())
 }
 
-// TryAcquire asks for one repeat. It is counted if it is allowed.
+// TryAcquire reports whether a retry is allowed, and counts it if so.
 func (b *Budget) TryAcquire(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,7 +74,7 @@
 	return true
 }
 
-// window returns a service's window without what has left it.
+// window returns a service's window after removing what is older. b.mu must be held.
 func (b *Budget) window(service string) *window {
 	w := b.services[service]
 	if w == nil {
--- a/internal/retry/quarantine.go
+++ b/internal/retry/quarantine.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Quarantine knows requests that break the servers which run them, by a hash of
-// their content, so that a caller's next try is refused before it breaks another.
+// Quarantine tracks requests that crash the servers which run them, by a hash of their
+// content, so that a caller's next attempt is refused before it crashes another server.
 // It is safe for concurrent use.
 type Quarantine struct {
 	now func() time.Time
@@ -15,26 +15,25 @@
 	suspects map[uint64]*suspect
 }
 
-// suspect is one content and how many servers broke while they ran it.
+// suspect counts the servers that crashed while running requests with one hash.
 type suspect struct {
 	crashes   int
 	lastCrash time.Time
 }
 
-// Limits of the quarantine.
 const (
-	// crashThreshold is how many broken servers bring a content into quarantine. One
-	// break may be the network's doing; a second for the same content seldom is.
+	// crashThreshold is the number of crashes after which a request is quarantined. A single
+	// broken connection may be a network fault; a second one for the same content seldom is.
 	crashThreshold = 2
-	// suspectTTL is how long a content is remembered after its last break:
-	// longer than the pause between a caller's tries.
+	// suspectTTL is how long a suspect is kept after its last crash: longer than callers wait
+	// between attempts.
 	suspectTTL = 5 * time.Minute
-	// maxSuspects bounds the memory; a mass break of connections fills it with
-	// innocent contents, of which the oldest go first.
+	// maxSuspects bounds the memory used. If many connections break at once, it fills with
+	// harmless requests, of which the oldest are evicted first.
 	maxSuspects = 4096
 )
 
-// NewQuarantine makes an empty quarantine. A nil now means time.Now.
+// NewQuarantine returns an empty quarantine. A nil now means time.Now.
 func NewQuarantine(now func() time.Time) *Quarantine {
 	if now == nil {
 		now = time.Now
@@ -42,8 +41,8 @@
 	return &Quarantine{now: now, suspects: make(map[uint64]*suspect)}
 }
 
-// RecordCrash notes that a server broke while it ran the content, here or (as told by
-// another router) elsewhere. It returns how many did.
+// RecordCrash records that a server crashed while it ran the request, through this router or,
+// as reported by it, another one. It returns the number of crashes so far.
 func (q *Quarantine) RecordCrash(hash uint64) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -59,7 +58,7 @@
 	return s.crashes
 }
 
-// Insert brings a content into quarantine at once, on another router's word.
+// Insert quarantines a request at once, because another router reported it.
 func (q *Quarantine) Insert(hash uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -68,7 +67,7 @@
 	q.suspects[hash] = &suspect{crashes: crashThreshold, lastCrash: now}
 }
 
-// Contains says whether the content must not be sent to a server any more.
+// Contains reports whether the request is quarantined and must not be sent to a server.
 func (q *Quarantine) Contains(hash uint64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -76,14 +75,14 @@
 	return s != nil && s.crashes >= crashThreshold && q.now().Sub(s.lastCrash) < suspectTTL
 }
 
-// RecordSuccess notes that a server answered the content whole.
+// RecordSuccess records a complete response, which clears the request of suspicion.
 func (q *Quarantine) RecordSuccess(hash uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	delete(q.suspects, hash)
 }
 
-// StartsQuarantine says whether a count of breaks is the one that starts the quarantine.
+// StartsQuarantine reports whether a count of crashes is the one that starts the quarantine.
 func StartsQuarantine(crashes int) bool {
 	return crashes == crashThreshold
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -30,7 +30,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			b := budgets[rapid.IntRange(0, routers-1).Draw(t, "router")]
 			for i := rapid.IntRange(0, 5).Draw(t, "requests"); i > 0; i-- {
-				b.Request("engines")
+				b.RecordRequest("engines")
 				requests = append(requests, now)
 			}
 			for b.TryAcquire("engines") {
