--- a/internal/escrow/away_test.go
+++ b/internal/escrow/away_test.go
@@ -20,7 +20,7 @@
 // Guards against passing a home by for a second because one caller left.
 func TestRequestWhoseTimeIsOverTellsNothingOfTheHome(t *testing.T) {
 	k := New(Options{Log: event.Discard(), Peers: unreachedPeers{}, Clock: func() ClockReading { return ClockReading{Steady: time.Minute} }})
-	h := &pendingReservation{keeper: k, grant: k.grant("boatyard"), tokens: 1, missing: 1}
+	h := &pendingReservation{manager: k, grant: k.grant("boatyard"), tokens: 1, missing: 1}
 	ctx, leave := context.WithCancel(context.Background())
 	leave()
 	k.borrowFrom(ctx, h, "home")
--- a/internal/escrow/gather.go
+++ b/internal/escrow/gather.go
@@ -12,34 +12,37 @@
 	"chicorytiller.example/chicorytiller/internal/event"
 )
 
-// A home that the store refuses leaves the list of routers, and nobody asks it any more. Its
-// grant may be most of a budget, which it can't return; but it may lend of it what its ledger
-// allows. So the router that holds instead asks whoever the record names, once all is granted.
+// A home that can't reach the store drops out of the list of routers, and no router borrows from
+// it any more. It may hold most of a budget, which it can't return, but which it may lend as far
+// as its ledger allows. So once the whole budget is granted, the router that draws in its place
+// gathers tokens: it borrows from the VMs that the record lists.
 
 const (
-	// gatherTimeout bounds one gathering: less than a reservation waits for a draw.
+	// gatherTimeout bounds one gathering. It is less than minDrawTimeout, the shortest time that
+	// a reservation waits.
 	gatherTimeout = 80 * time.Millisecond
-	// gatherHorizon is how much of the use seen is gathered at once, so that each request need
-	// not wait for a gathering of its own.
+	// gatherHorizon is how long the tokens of one gathering should last at the current rate of
+	// use, so that not every request waits for a gathering of its own.
 	gatherHorizon = 500 * time.Millisecond
-	// emptyGatherBackoff is how long nobody is asked again after one that brought nothing.
-	emptyGatherBackoff = time.Second
-	// usageReportTTL is how long a holder's report of what it has spent replaces its figure in the record,
-	// which lags behind until it draws again.
+	// shortGatherBackoff is the time before the next gathering for an account after a router
+	// lent less than it was asked for.
+	shortGatherBackoff = time.Second
+	// usageReportTTL is how long a VM's report of its spending takes precedence over its entry in
+	// the record, which is out of date until the VM draws again.
 	usageReportTTL = 3 * time.Second
-	// unreachableBackoff is how long a router that didn't answer is left out: as a rule it is dead, and
-	// the record lists it until its successor closes what it held.
+	// unreachableBackoff is how long a VM that did not answer is skipped. Usually its router is
+	// dead, and the record lists it until its successor closes its grant.
 	unreachableBackoff = 10 * time.Second
 )
 
-// usageReport is what a holder had spent of an account when it was asked for tokens.
+// usageReport is what a router had spent of an account when it was last asked for tokens.
 type usageReport struct {
 	spent int64
 	at    time.Duration
 }
 
-// spentByVM is what a VM has spent of an account, as far as is known: by its report of late, else by
-// the record. The keeper is locked.
+// spentByVM returns what a VM is known to have spent of an account: by its report if that is
+// recent, else by the record. The caller holds m.mu.
 func (m *GrantManager) spentByVM(p *grant, vm string) int64 {
 	if report, known := p.reports[vm]; known && m.o.Clock().Steady-report.at < usageReportTTL {
 		return report.spent
@@ -47,7 +50,7 @@
 	return p.record.SpentBy(vm)
 }
 
-// spentElsewhere is what was surely spent by all but this process. The keeper is locked.
+// spentElsewhere returns what all other processes are known to have spent. The caller holds m.mu.
 func (m *GrantManager) spentElsewhere(p *grant) int64 {
 	sum := p.record.ClosedSpent + p.record.SpentBy(m.o.VM) - p.record.GrantEntry(m.o.VM, m.o.Incarnation).Spent
 	for vm := range p.record.Holders {
@@ -58,21 +61,21 @@
 	return sum
 }
 
-// gathering is a call for tokens to a router that the record leaves some to.
+// gathering is a request for tokens to a router that has unspent ones according to the record.
 type gathering struct {
 	grant       *grant
 	vm, address string
 	tokens      int64
 }
 
-// requestGather orders tokens from a router that holds some, or says that this is under way; false:
-// nobody else has any. The keeper is locked.
-func (m *GrantManager) requestGather(r *pendingReservation) bool {
+// requestGathering makes sure that a gathering for the account is pending or in progress. It
+// returns false if no other router is known to have tokens. The caller holds m.mu.
+func (m *GrantManager) requestGathering(r *pendingReservation) bool {
 	p := r.grant
 	if p.gathering {
 		return true
 	}
-	if p.shortGatherAt > 0 && m.o.Clock().Steady-p.shortGatherAt < emptyGatherBackoff {
+	if p.shortGatherAt > 0 && m.o.Clock().Steady-p.shortGatherAt < shortGatherBackoff {
 		return false
 	}
 	vm, address := m.largestOtherHolder(p)
@@ -84,29 +87,29 @@
 	m.pendingGatherings = append(m.pendingGatherings, gathering{grant: p, vm: vm, address: address, tokens: tokens})
 	select {
 	case m.gatherDue <- struct{}{}:
-	default: // one is due already
+	default: // already signalled
 	}
 	return true
 }
 
-// gatherLoop carries gatherings out until ctx ends.
+// gatherLoop runs pending gatherings until ctx ends.
 func (m *GrantManager) gatherLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-m.gatherDue:
-			m.runGathers(ctx)
+			m.runGatherings(ctx)
 		}
 	}
 }
 
-// runGathers carries out what was ordered, all at once: one router that doesn't answer must
-// not hold up the others.
-func (m *GrantManager) runGathers(ctx context.Context) {
+// runGatherings runs all pending gatherings concurrently, so that a router that doesn't answer
+// does not delay the others.
+func (m *GrantManager) runGatherings(ctx context.Context) {
 	var calls conc.WaitGroup
 	for _, g := range m.takeGatherings() {
-		calls.Go(func() { m.runGather(ctx, g) })
+		calls.Go(func() { m.runGathering(ctx, g) })
 	}
 	calls.Wait()
 }
@@ -114,13 +117,13 @@
 func (m *GrantManager) takeGatherings() []gathering {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	requests := m.pendingGatherings
+	gatherings := m.pendingGatherings
 	m.pendingGatherings = nil
-	return requests
+	return gatherings
 }
 
-// largestOtherHolder is the VM, with its address, that has the most tokens left beside this one, as far as
-// is known; the address is empty if there is none that can be asked.
+// largestOtherHolder returns the other VM that is known to have the most unspent tokens, and its
+// address. The address is empty if there is no such VM that can be asked.
 func (m *GrantManager) largestOtherHolder(p *grant) (vm, address string) {
 	most, now := int64(0), m.o.Clock().Steady
 	for name := range p.record.Holders {
@@ -136,9 +139,9 @@
 	return vm, address
 }
 
-// runGather asks one router and ends the gathering. What it lends is what none of its own
-// requests waits for.
-func (m *GrantManager) runGather(ctx context.Context, g gathering) {
+// runGathering borrows from one router and ends the gathering. That router lends only tokens that
+// no queued request waits for.
+func (m *GrantManager) runGathering(ctx context.Context, g gathering) {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
 	p := g.grant
@@ -164,11 +167,12 @@
 	m.broadcast()
 }
 
-// noWaiter names no request: what nobody waits for is lent, and nothing is drawn for it.
+// noWaiter is the waiter ID of a loan that no request waits for: the lender doesn't draw, and
+// lends only tokens that no queued request waits for.
 const noWaiter = ""
 
-// ledgerAddress reads the address of a stored ledger, and no more of it: a ledger of
-// thousands of accounts is large. It is empty if there is none.
+// ledgerAddress returns the address in a stored ledger, or "" if it has none. It decodes no
+// further than the address, since the ledger of thousands of accounts is large.
 func ledgerAddress(data []byte) string {
 	d := json.NewDecoder(bytes.NewReader(data))
 	for depth, key := 0, ""; ; {
--- a/internal/escrow/gather_test.go
+++ b/internal/escrow/gather_test.go
@@ -65,9 +65,9 @@
 
 	h := k.newPendingReservation("boatyard", 8_000, true, "")
 	c.Assert(k.shortageError(h), qt.Equals, ErrContended)
-	c.Assert(k.requestGather(h), qt.IsTrue)
+	c.Assert(k.requestGathering(h), qt.IsTrue)
 	for _, g := range k.takeGatherings() {
-		k.runGather(context.Background(), g)
+		k.runGathering(context.Background(), g)
 	}
 	c.Assert(k.shortageError(h), qt.Equals, ErrExhausted)
 	vm, _ := k.largestOtherHolder(h.grant)
--- a/internal/escrow/holders.go
+++ b/internal/escrow/holders.go
@@ -203,7 +203,7 @@
 		return false
 	}
 	if isHolder {
-		p.lastAskedAt = now // it holds from now on for those who rank behind
+		p.lastAskedAt = now // acts as a standby from now on
 		return true
 	}
 	if now < p.nextLastResortDraw {
@@ -253,26 +253,26 @@
 
 // recentLoans counts the tokens lent in the current recentLoanWindow and the one before it.
 type recentLoans struct {
-	windowStart   time.Duration
-	now, previous int64
+	windowStart       time.Duration
+	current, previous int64
 }
 
 func (r *recentLoans) add(tokens int64, now time.Duration) {
 	r.rotate(now)
-	r.now += tokens
+	r.current += tokens
 }
 
 func (r *recentLoans) sum(now time.Duration) int64 {
 	r.rotate(now)
-	return r.now + r.previous
+	return r.current + r.previous
 }
 
 func (r *recentLoans) rotate(now time.Duration) {
 	switch passed := now - r.windowStart; {
 	case passed >= 2*recentLoanWindow:
-		r.now, r.previous, r.windowStart = 0, 0, now
+		r.current, r.previous, r.windowStart = 0, 0, now
 	case passed >= recentLoanWindow:
-		r.previous, r.now, r.windowStart = r.now, 0, now
+		r.previous, r.current, r.windowStart = r.current, 0, now
 	}
 }
 
--- a/internal/escrow/lend.go
+++ b/internal/escrow/lend.go
@@ -8,26 +8,27 @@
 	"chicorytiller.example/chicorytiller/internal/event"
 )
 
-// Loan is what a router gives another one out of its grant.
+// Loan is the result of a request to borrow tokens from another router.
 type Loan struct {
 	Tokens int64
-	// Used is the tokens that the lender has spent or reserved, without the loan.
+	// Used is the number of tokens that the lender has spent, reserved or lent before, less those
+	// that it borrowed.
 	Used int64
-	// Spent is what the lender has surely spent and lent, with the loan, without what it borrowed and
-	// what it lent to others in the last moments: some of that may come back.
+	// Spent is the number of tokens that the lender has spent or lent, including this loan, less
+	// those that it borrowed and those that it lent shortly before, which may be returned unused.
 	Spent int64
-	// Short says why that is not all that was asked for.
+	// Short is the reason why Tokens is less than was asked for.
 	Short Shortage
 }
 
-// lendDrawTimeout is how long a router that is asked waits for a draw of its own: less than its
-// borrower waits for the answer.
+// lendDrawTimeout bounds the wait for a draw in Lend. It is less than the time that the borrower
+// waits for the answer.
 const lendDrawTimeout = 150 * time.Millisecond
 
-// Lend gives tokens to another router. What it gives counts as used from then on. A waiter
-// is a request that asks this router as a holder of the account: it gets what can be drawn,
-// and keeps its place in the queue while the store is away. Without one, what nobody waits
-// for is given, and nothing is drawn.
+// Lend gives tokens to another router; they count as used from then on. A waiterID names a
+// request that asks this router as a holder of the account: Lend draws tokens for it if needed,
+// and during an outage the request has a place in the account's queue. Without a waiterID, Lend
+// gives only tokens that no queued request waits for, and doesn't draw.
 func (m *GrantManager) Lend(account string, tokens int64, waiterID string) Loan {
 	r := m.newPendingReservation(account, tokens, waiterID != "", waiterID)
 	loan := Loan{}
@@ -47,20 +48,21 @@
 	return loan
 }
 
-// refreshStandby makes this router hold for the account, if it is not its home.
+// refreshStandby makes this router a standby for the account for the next standbyTimeout, unless
+// it is the home.
 func (m *GrantManager) refreshStandby(p *grant) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p.lastAskedAt = m.o.Clock().Steady
 }
 
-// drawForLoan draws what a loan lacks, and says why it still does.
+// drawForLoan draws the missing tokens of a loan, and returns the reason if it can't.
 func (m *GrantManager) drawForLoan(r *pendingReservation) Shortage {
 	if r.missing == 0 {
 		return NoShortage
 	}
 	if _, known := m.o.Budgets()[r.grant.account]; !known {
-		return StoreUnreachable // started a moment ago, without a configuration: it can't tell
+		return StoreUnreachable // just started: no configuration yet, so the budget is unknown
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), lendDrawTimeout)
 	defer cancel()
@@ -76,7 +78,7 @@
 	return short
 }
 
-// TakeBack undoes a loan that its borrower never got.
+// TakeBack undoes a loan that did not reach its borrower.
 func (m *GrantManager) TakeBack(account string, tokens int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,14 +88,14 @@
 }
 
 const (
-	// sweepInterval bounds how long tokens lie unused: a request reserves its most,
-	// and leaves about half of it.
+	// sweepInterval bounds how long borrowed tokens stay unused: a request reserves the most that
+	// it can use, and on average leaves about half of that.
 	sweepInterval = 400 * time.Millisecond
-	// sweepTimeout bounds the handing back of tokens to their accounts' homes.
+	// sweepTimeout bounds one sweep.
 	sweepTimeout = 300 * time.Millisecond
 )
 
-// sweepLoop hands tokens back until ctx ends.
+// sweepLoop runs sweeps until ctx ends.
 func (m *GrantManager) sweepLoop(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -107,17 +109,18 @@
 	}
 }
 
-// sweep hands what is left here to the accounts' homes, so that it is not lost in
-// small parts with every router, and not missing where it is needed.
+// sweep returns unused tokens to the accounts' homes. Otherwise every router would keep a small
+// part of the budget, which would be lost if it died and could not be used elsewhere.
 func (m *GrantManager) sweep(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
 	defer cancel()
-	for home, left := range m.takeSurplus() {
-		m.sendTokens(ctx, home, left)
+	for home, tokens := range m.takeSurplus() {
+		m.sendTokens(ctx, home, tokens)
 	}
 }
 
-// takeSurplus takes what is left here of accounts whose home is another router, by home.
+// takeSurplus takes the unused tokens of all accounts for which this router is neither home nor
+// standby, and counts them as lent. The result is by address of the home, then by account.
 func (m *GrantManager) takeSurplus() map[string]map[string]int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -137,7 +140,8 @@
 	return byHome
 }
 
-// sendTokens hands tokens to a router. They were counted as lent before.
+// sendTokens transfers tokens, which the caller has counted as lent, to another router. If the
+// transfer fails they are available again.
 func (m *GrantManager) sendTokens(ctx context.Context, address string, tokens map[string]int64) {
 	if m.o.Peers.HandOver(ctx, address, tokens) {
 		return
@@ -149,32 +153,32 @@
 	}
 }
 
-// HandOver gives all unspent tokens to another router, where they can't be
-// returned: at a stop while the store is away.
+// HandOver transfers all unspent tokens to another router. It is for a planned stop during an
+// outage of the store, when grants can't be returned.
 func (m *GrantManager) HandOver(ctx context.Context, address string) {
 	m.mu.Lock()
-	left := make(map[string]int64)
+	tokensByAccount := make(map[string]int64)
 	for account, p := range m.grants {
 		if tokens := p.available(m.contactAge()); tokens > 0 {
-			left[account] = tokens
+			tokensByAccount[account] = tokens
 			p.lent += tokens
 		}
 	}
 	m.mu.Unlock()
-	m.o.Log.Emit(event.TokensHandedOver, slog.String(event.KeyRouter, address), slog.Int("accounts", len(left)))
-	m.sendTokens(ctx, address, left)
+	m.o.Log.Emit(event.TokensHandedOver, slog.String(event.KeyRouter, address), slog.Int("accounts", len(tokensByAccount)))
+	m.sendTokens(ctx, address, tokensByAccount)
 }
 
-// StopAccepting says that this router is about to stop: it takes no tokens of others any more.
-// Where several stop at once, each may hold another one for the new home; what they hand
-// to each other then is lost, since only what a router was granted itself is returned.
+// StopAccepting makes Accept refuse all tokens from now on, since this router is about to stop.
+// If several routers stop at once, each may take another for the new home. Tokens that they sent
+// each other would be lost: a router that stops returns only what it was granted itself.
 func (m *GrantManager) StopAccepting() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.leaving = true
 }
 
-// Accept takes tokens that another router hands over; false: none of them.
+// Accept takes tokens that another router hands over. It returns false if it took none of them.
 func (m *GrantManager) Accept(tokens map[string]int64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/escrow/queue.go
+++ b/internal/escrow/queue.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// queue is the order in which requests that wait for one account's tokens get them while
-// the store is away and little may be spent. Without it each takes a part of the little
-// there is, none gets all it needs, and all are refused.
+// queue orders the requests that wait for tokens of one account during an outage of the store,
+// when few tokens may be spent. Without it each request takes a part of these few, none gets
+// enough, and all are refused.
 type queue struct {
 	waiters []waiter
 }
 
-// waiter is one request in a queue. It asks again and again until it is served.
+// waiter is one request in a queue. It retries until it is admitted.
 type waiter struct {
 	id       string
 	tokens   int64
-	lastSeen time.Duration // when it asked last, by the steady clock
+	lastSeen time.Duration // time of the last attempt, on the steady clock
 }
 
-// waiterTimeout is how long a waiter that doesn't ask any more keeps its place: some of its
-// pauses between two tries, with the round trip to this router.
+// waiterTimeout is how long a waiter keeps its place after its last attempt. It covers several
+// retry intervals and the round trip to this router.
 const waiterTimeout = 400 * time.Millisecond
 
-// admit says whether a request may take its tokens now: all of them, and only if those
-// who came before it can have theirs too. Else it has a place in the queue.
+// admit reports whether a request may take all its tokens now, which requires that the requests
+// ahead of it can be served too. If not, the request has a place in the queue.
 func (q *queue) admit(id string, tokens, available int64, now time.Duration) bool {
 	q.dropExpired(now)
 	ahead := int64(0)
@@ -45,8 +45,8 @@
 	return false
 }
 
-// waitingTokens is the tokens that the queue waits for.
-func (q *queue) waitingTokens(now time.Duration) int64 {
+// queuedTokens returns the number of tokens that the queued requests wait for.
+func (q *queue) queuedTokens(now time.Duration) int64 {
 	q.dropExpired(now)
 	sum := int64(0)
 	for _, w := range q.waiters {
@@ -55,7 +55,7 @@
 	return sum
 }
 
-// dropExpired forgets the waiters that have stopped asking.
+// dropExpired removes the waiters that have stopped retrying.
 func (q *queue) dropExpired(now time.Duration) {
 	kept := q.waiters[:0]
 	for _, w := range q.waiters {
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -114,7 +114,7 @@
 // pendingReservation is a reservation that may still lack tokens. The tokens that it has are
 // reserved at once: otherwise concurrent requests would take them, and none would get enough.
 type pendingReservation struct {
-	keeper  *GrantManager
+	manager *GrantManager
 	grant   *grant
 	tokens  int64
 	missing int64
@@ -132,7 +132,7 @@
 		m.lastWaiterID++
 		waiterID = m.o.Incarnation + "/" + strconv.FormatInt(m.lastWaiterID, 10)
 	}
-	r := &pendingReservation{keeper: m, grant: m.grant(account), tokens: tokens, missing: tokens, queued: queued, waiterID: waiterID}
+	r := &pendingReservation{manager: m, grant: m.grant(account), tokens: tokens, missing: tokens, queued: queued, waiterID: waiterID}
 	r.fill()
 	if _, short := r.grant.nextCeiling(r.grant.granted, m.o.Budgets()[account], m.role(r.grant), m.roundTrip); short {
 		m.wakeUp()
@@ -143,8 +143,8 @@
 // fill reserves as many of the missing tokens as the grant can give. The caller holds the
 // manager's mu.
 func (r *pendingReservation) fill() {
-	available := r.grant.available(r.keeper.contactAge())
-	if r.keeper.storeDown {
+	available := r.grant.available(r.manager.contactAge())
+	if r.manager.storeDown {
 		available = r.outageShare(available)
 	}
 	taken := max(0, min(r.missing, available))
@@ -156,9 +156,9 @@
 // outage: a queued one takes all that it needs once it is admitted, any other only what the
 // queue doesn't wait for.
 func (r *pendingReservation) outageShare(available int64) int64 {
-	now := r.keeper.o.Clock().Steady
+	now := r.manager.o.Clock().Steady
 	if !r.queued {
-		return available - r.grant.queue.waitingTokens(now)
+		return available - r.grant.queue.queuedTokens(now)
 	}
 	if r.missing == 0 || !r.grant.queue.admit(r.waiterID, r.missing, available, now) {
 		return 0
@@ -169,21 +169,21 @@
 // received adds tokens that another router lent. Those beyond the missing ones become available
 // to other requests.
 func (r *pendingReservation) received(tokens int64) {
-	r.keeper.mu.Lock()
-	defer r.keeper.mu.Unlock()
+	r.manager.mu.Lock()
+	defer r.manager.mu.Unlock()
 	r.grant.borrowed += tokens
 	r.grant.reserved += min(tokens, r.missing)
 	r.missing -= min(tokens, r.missing)
 }
 
 func (r *pendingReservation) release() {
-	r.keeper.mu.Lock()
-	defer r.keeper.mu.Unlock()
+	r.manager.mu.Lock()
+	defer r.manager.mu.Unlock()
 	r.grant.reserved -= r.tokens - r.missing
 }
 
 func (r *pendingReservation) reservation() *Reservation {
-	return &Reservation{keeper: r.keeper, grant: r.grant, tokens: r.tokens}
+	return &Reservation{keeper: r.manager, grant: r.grant, tokens: r.tokens}
 }
 
 // minDrawTimeout is the shortest time that a reservation waits for a draw before it asks other
@@ -247,7 +247,7 @@
 		return nil, ErrUnreachable
 	case r.grant.recordKnown && (waited || m.recordsFresh()) && m.exceedsRecord(r):
 		err := m.shortageError(r)
-		if !errors.Is(err, ErrContended) || !m.requestGather(r) {
+		if !errors.Is(err, ErrContended) || !m.requestGathering(r) {
 			return nil, err
 		}
 	}
--- a/internal/escrow/stop.go
+++ b/internal/escrow/stop.go
@@ -10,8 +10,8 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// ReturnGrants gives all unspent grants back, at a planned stop. Requests that still
-// run keep their reservations out of it; they count as spent.
+// ReturnGrants returns all unspent tokens to the records at a planned stop. The reservations of
+// requests that still run count as spent.
 func (m *GrantManager) ReturnGrants(ctx context.Context) error {
 	m.mu.Lock()
 	m.stopped = true
@@ -20,14 +20,14 @@
 	if storeDown {
 		return ErrUnreachable
 	}
-	const rounds = 8 // each conflict means that another router's write landed
+	const maxRounds = 8 // each conflict means that another router's write succeeded
 	var err error
-	for i := 0; i < rounds; i++ {
-		d, any := m.planReturn()
-		if !any {
+	for i := 0; i < maxRounds; i++ {
+		d, due := m.planReturn()
+		if !due {
 			return nil
 		}
-		if err = m.close(ctx, d); err == nil {
+		if err = m.commitReturn(ctx, d); err == nil {
 			continue
 		}
 		if errors.Is(err, store.ErrConflict) {
@@ -38,6 +38,8 @@
 	return err
 }
 
+// planReturn prepares a transaction that returns the unspent tokens of up to maxTxnAccounts
+// accounts. It returns false if there are none to return.
 func (m *GrantManager) planReturn() (draw, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -55,7 +57,8 @@
 	return d, len(d.grants) > 0
 }
 
-func (m *GrantManager) close(ctx context.Context, d draw) error {
+// commitReturn runs a transaction made by planReturn.
+func (m *GrantManager) commitReturn(ctx context.Context, d draw) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	result, err := m.o.Store.Commit(ctx, d.txn)
@@ -66,13 +69,13 @@
 		return err
 	}
 	if errors.Is(err, store.ErrUnavailable) {
-		for i, p := range d.grants { // nothing was done: the grants are still here
+		for i, p := range d.grants { // nothing was written: the grants are unchanged
 			p.pendingRevision = d.pendingRevision[i]
 			p.applyRecord(p.record, p.revision, p.record.GrantEntry(m.o.VM, m.o.Incarnation))
 		}
 	}
 	if err != nil {
-		return errors.Wrap(err, "return of grants")
+		return errors.Wrap(err, "return grants")
 	}
 	m.logClosedGrants(d)
 	for i, p := range d.grants {
--- a/internal/escrow/world_test.go
+++ b/internal/escrow/world_test.go
@@ -343,7 +343,7 @@
 			if changed, _ := r.keeper.fillOrWait(h, true); changed != nil {
 				r.keeper.syncStore(context.Background(), true)
 				for _, g := range r.keeper.takeGatherings() {
-					r.keeper.runGather(context.Background(), g)
+					r.keeper.runGathering(context.Background(), g)
 				}
 				r.keeper.stopWaiting(h)
 			}
