--- a/cmd/chicory-edge/main.go
+++ b/cmd/chicory-edge/main.go
@@ -21,18 +21,18 @@
 
 func environment(settings *node.Settings, clock func() escrow.ClockReading, _ *event.Log) node.Environment {
 	return node.Environment{
-		Store:           platform.NewStore(settings.Store),
-		Clock:           clock,
-		Now:             store.BootNow,
-		ConfigPrefix:    platform.ConfigPrefix,
-		IsConfig:        platform.IsConfig,
-		DecodeConfig:    platform.DecodeConfig,
-		EvacuatedDomain: platform.EvacuatedDomain,
-		ServersPrefix:   platform.ServersPrefix,
-		DecodeServer:    fleet.DecodeEntry(platform.DecodeServer),
-		Codec:           platform.ServerCodec,
-		Front:           platform.Front,
-		Directory:       platform.Directory,
-		Ready:           platform.Ready,
+		Store:            platform.NewStore(settings.StoreAddr),
+		Clock:            clock,
+		Now:              store.BootNow,
+		ConfigPrefix:     platform.ConfigPrefix,
+		IsConfig:         platform.IsConfig,
+		DecodeConfig:     platform.DecodeConfig,
+		EvacuatedDomain:  platform.EvacuatedDomain,
+		ServersPrefix:    platform.ServersPrefix,
+		DecodeServer:     fleet.DecodeEntry(platform.DecodeServer),
+		Codec:            platform.ServerCodec,
+		CallerHandler:    platform.Front,
+		DirectoryHandler: platform.Directory,
+		ReadyHandler:     platform.Ready,
 	}
 }
--- a/cmd/chicory-router/main.go
+++ b/cmd/chicory-router/main.go
@@ -16,7 +16,7 @@
 		Name: "chicory-router",
 		Help: "Router between callers and backend servers, on prepaid token budgets.",
 		Environment: func(settings *node.Settings, clock func() escrow.ClockReading, log *event.Log) node.Environment {
-			return native.Environment(platform.NewStore(settings.Store), clock, log)
+			return native.Environment(platform.NewStore(settings.StoreAddr), clock, log)
 		},
 	}.Main()
 }
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -238,15 +238,15 @@
 	any := exampleAddress + ":0"
 	s := &node.Settings{
 		VM: fmt.Sprintf("entry-%d", i+1), FailureDomain: string(domain(i)),
-		Callers: any, Ready: any, Directory: any, Metrics: any, Peers: any, Store: f.StoreAt,
-		Drain: 2 * time.Second, Grace: f.options.Grace, EntryTTL: time.Second,
+		CallerAddr: any, ReadyAddr: any, DirectoryAddr: any, MetricsAddr: any, PeerAddr: any, StoreAddr: f.StoreAt,
+		DrainTime: 2 * time.Second, GracePeriod: f.options.Grace, EntryTTL: time.Second,
 		RetryRatio: 0.2, RetryExtra: 50, RetryWindow: 10 * time.Second,
 	}
 	if f.options.FirstAt > 0 {
-		s.Callers = fmt.Sprintf("%s:%d", exampleAddress, f.options.FirstAt+i)
+		s.CallerAddr = fmt.Sprintf("%s:%d", exampleAddress, f.options.FirstAt+i)
 	}
-	if s.Grace == 0 {
-		s.Grace = graceDefault
+	if s.GracePeriod == 0 {
+		s.GracePeriod = graceDefault
 	}
 	return s
 }
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -47,7 +47,7 @@
 
 // call sends a request to a router; headers come in pairs.
 func (f *Fleet) call(router int, path, body string, headers ...string) reply {
-	r, err := http.NewRequest(http.MethodPost, "http://"+f.Routers[router].Settings().Callers+path, strings.NewReader(body))
+	r, err := http.NewRequest(http.MethodPost, "http://"+f.Routers[router].Settings().CallerAddr+path, strings.NewReader(body))
 	if err != nil {
 		return reply{err: err}
 	}
--- a/internal/dev/guide.go
+++ b/internal/dev/guide.go
@@ -7,13 +7,13 @@
 
 // PrintGuide writes the addresses and calls to copy and paste.
 func (f *Fleet) PrintGuide(w io.Writer) {
-	first := f.Routers[0].Settings().Callers
+	first := f.Routers[0].Settings().CallerAddr
 	account := f.Accounts[0]
 	fmt.Fprintf(w, "chicorytiller runs: %d routers, %d engines, 1 plain service, the store (%s), in this process.\n\n",
 		len(f.Routers), len(f.Engines), f.StoreAt)
 	for i, r := range f.Routers {
 		s := r.Settings()
-		fmt.Fprintf(w, "router %d (%s): callers http://%s  metrics http://%s/metrics\n", i+1, domain(i), s.Callers, s.Metrics)
+		fmt.Fprintf(w, "router %d (%s): callers http://%s  metrics http://%s/metrics\n", i+1, domain(i), s.CallerAddr, s.MetricsAddr)
 	}
 	fmt.Fprintln(w)
 	for _, a := range f.Accounts {
--- a/internal/native/dialect.go
+++ b/internal/native/dialect.go
@@ -11,18 +11,18 @@
 // Environment is what a router with the own interface speaks.
 func Environment(s store.Store, clock func() escrow.ClockReading, log *event.Log) node.Environment {
 	return node.Environment{
-		Store:           s,
-		Clock:           clock,
-		Now:             store.BootNow,
-		ConfigPrefix:    ConfigPrefix,
-		IsConfig:        IsConfig,
-		DecodeConfig:    DecodeConfig,
-		EvacuatedDomain: EvacuatedDomain,
-		ServersPrefix:   BackendsPrefix,
-		DecodeServer:    fleet.DecodeEntry(DecodeBackend),
-		Codec:           Codec,
-		Front:           Front(s, log),
-		Directory:       Directory,
-		Ready:           Ready,
+		Store:            s,
+		Clock:            clock,
+		Now:              store.BootNow,
+		ConfigPrefix:     ConfigPrefix,
+		IsConfig:         IsConfig,
+		DecodeConfig:     DecodeConfig,
+		EvacuatedDomain:  EvacuatedDomain,
+		ServersPrefix:    BackendsPrefix,
+		DecodeServer:     fleet.DecodeEntry(DecodeBackend),
+		Codec:            Codec,
+		CallerHandler:    Front(s, log),
+		DirectoryHandler: Directory,
+		ReadyHandler:     Ready,
 	}
 }
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -63,7 +63,7 @@
 		n.log.Emit(event.LeaseLost, slog.Any(event.KeyCause, err))
 		return 0
 	}
-	value, err := json.Marshal(MemberRecord{Address: n.settings.Callers, Peer: n.settings.Peers, Domain: n.settings.FailureDomain,
+	value, err := json.Marshal(MemberRecord{Address: n.settings.CallerAddr, Peer: n.settings.PeerAddr, Domain: n.settings.FailureDomain,
 		Capacity: n.settings.Capacity})
 	if err != nil {
 		panic(err) // two strings always encode
--- a/internal/node/bootstrap.go
+++ b/internal/node/bootstrap.go
@@ -31,8 +31,8 @@
 		if n.policy.Load() != nil && n.registry.View().Total > 0 {
 			return
 		}
-		for _, seed := range n.settings.Seeds {
-			if seed != n.settings.Peers && n.bootstrapFrom(ctx, seed) {
+		for _, seed := range n.settings.SeedAddrs {
+			if seed != n.settings.PeerAddr && n.bootstrapFrom(ctx, seed) {
 				return
 			}
 		}
--- a/internal/node/capacity_test.go
+++ b/internal/node/capacity_test.go
@@ -30,7 +30,7 @@
 // Guards against homes on small routers, and accounts of a lost home that scatter.
 func TestHomesFollowTheCapacities(t *testing.T) {
 	c := qt.New(t)
-	n := New(&Settings{VM: "vm-0", Peers: "peer-0", Capacity: 0.04}, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
+	n := New(&Settings{VM: "vm-0", PeerAddr: "peer-0", Capacity: 0.04}, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
 	items := make([]store.Item, 0, 10)
 	for i := range 10 {
 		record := fmt.Sprintf(`{"address":"a-%d","peer":"peer-%d","capacity":%v}`, i, i, map[bool]float64{true: 0.8, false: 0.04}[i == 5])
@@ -58,7 +58,7 @@
 
 // amongAlike is a router that knows so many alike, itself among them, and their entries.
 func amongAlike(routers int) (*Node, []store.Item) {
-	n := New(&Settings{VM: "vm-0", Peers: "peer-0", Capacity: 0.4}, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
+	n := New(&Settings{VM: "vm-0", PeerAddr: "peer-0", Capacity: 0.4}, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
 	var items []store.Item
 	for i := range routers {
 		record := fmt.Sprintf(`{"address":"a-%d","peer":"peer-%d","capacity":0.4}`, i, i)
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -54,7 +54,7 @@
 }
 
 func (n *Node) serversFollower() *store.Follower {
-	drain := max(n.settings.Drain, minDrain)
+	drain := max(n.settings.DrainTime, minDrain)
 	fraction := func(share float64) time.Duration { return time.Duration(share * float64(drain)) }
 	return &store.Follower{Prefix: n.env.ServersPrefix, Sink: n.registry,
 		Wait: fraction(serversWatchWaitFraction), Pause: fraction(serversWatchPauseFraction), CheckAfter: fraction(serversCheckAfterFraction),
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -227,7 +227,7 @@
 		w.store.Put("config/x", []byte("1"))
 		w.putServer("a", false)
 		w.putServer("b", false)
-		w.node = New(&Settings{VM: "vm-1", FailureDomain: "zone-1", Drain: drain}, Environment{
+		w.node = New(&Settings{VM: "vm-1", FailureDomain: "zone-1", DrainTime: drain}, Environment{
 			Store: w.store, Clock: func() escrow.ClockReading { return escrow.ClockReading{} },
 			ConfigPrefix: "config/", IsConfig: func(item store.Item) bool { return item.Key == "config/x" }, DecodeConfig: testConfig,
 			EvacuatedDomain: func(key string) (string, bool) { return strings.CutPrefix(key, "config/evacuate/") },
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -42,10 +42,10 @@
 		address *string
 		handler http.Handler
 	}{
-		{&n.settings.Callers, n.env.Front(n.callerRouter())},
-		{&n.settings.Ready, n.env.Ready(n.Ready)},
-		{&n.settings.Directory, n.env.Directory(n.resolve, n.settings.EntryTTL)},
-		{&n.settings.Metrics, n.metrics.Handler()},
+		{&n.settings.CallerAddr, n.env.CallerHandler(n.callerRouter())},
+		{&n.settings.ReadyAddr, n.env.ReadyHandler(n.Ready)},
+		{&n.settings.DirectoryAddr, n.env.DirectoryHandler(n.resolve, n.settings.EntryTTL)},
+		{&n.settings.MetricsAddr, n.metrics.Handler()},
 	}
 	for _, h := range handlers {
 		l, err := listenOn(h.address)
@@ -58,7 +58,7 @@
 		n.listeners = append(n.listeners, &listener{ln: l, server: server, log: n.log})
 	}
 	var err error
-	if n.peerListener, err = listenOn(&n.settings.Peers); err != nil {
+	if n.peerListener, err = listenOn(&n.settings.PeerAddr); err != nil {
 		n.closeListeners()
 	}
 	return err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -96,11 +96,11 @@
 	ServersPrefix   string
 	DecodeServer    fleet.DecodeEntry
 	Codec           upstream.Codec
-	// Front, Directory and Ready create the handlers of the listeners for callers, for the
-	// directory of routers and for readiness probes.
-	Front     func(callers.Router) http.Handler
-	Directory func(resolve func(domain, caller string) []string, ttl time.Duration) http.Handler
-	Ready     func(ready func() bool) http.Handler
+	// CallerHandler, DirectoryHandler and ReadyHandler create the handlers of the listeners for
+	// callers, for the directory of routers and for readiness probes.
+	CallerHandler    func(callers.Router) http.Handler
+	DirectoryHandler func(resolve func(domain, caller string) []string, ttl time.Duration) http.Handler
+	ReadyHandler     func(ready func() bool) http.Handler
 }
 
 // Node is one router.
@@ -160,7 +160,7 @@
 	n.client = upstream.NewClient(d.Codec, n.metrics.BackendDials)
 	n.peers = peers.NewClient(incarnation, n.peerAddresses, log)
 	n.grants = escrow.New(escrow.Options{
-		Store: d.Store, Prefix: BudgetPrefix, VM: s.VM, Address: s.Peers, Incarnation: incarnation, Clock: d.Clock,
+		Store: d.Store, Prefix: BudgetPrefix, VM: s.VM, Address: s.PeerAddr, Incarnation: incarnation, Clock: d.Clock,
 		Budgets: n.budgets, Home: n.homeAddress, Holders: n.holderAddresses, Log: log, Peers: n.peers,
 	})
 	n.limits = pacing.NewLimits(log, nil)
@@ -243,7 +243,7 @@
 }
 
 func (n *Node) self() fleet.Member {
-	return fleet.Member{Name: n.settings.VM, Address: n.settings.Callers, Peer: n.settings.Peers, Domain: n.settings.FailureDomain,
+	return fleet.Member{Name: n.settings.VM, Address: n.settings.CallerAddr, Peer: n.settings.PeerAddr, Domain: n.settings.FailureDomain,
 		Capacity: n.settings.Capacity}
 }
 
@@ -312,7 +312,7 @@
 		return false
 	}
 	route := p.Route(r.Host, r.Path)
-	left := n.settings.Grace - grantReturnTime - since
+	left := n.settings.GracePeriod - grantReturnTime - since
 	return route != nil && route.Timeout > 0 && route.Timeout < left
 }
 
@@ -337,7 +337,7 @@
 	}
 	tasks.Go(n.servePeers)
 	n.startBackgroundTasks(background, &tasks)
-	n.log.Emit(event.ProcessStarted, slog.String("callers", n.settings.Callers), slog.String("incarnation", n.incarnation))
+	n.log.Emit(event.ProcessStarted, slog.String("callers", n.settings.CallerAddr), slog.String("incarnation", n.incarnation))
 	<-ctx.Done()
 	n.stop()
 	n.closeListeners()
@@ -347,7 +347,7 @@
 
 func (n *Node) servePeers() {
 	if err := peers.Serve(n.peerListener, n.grants, n, n.log); !errors.Is(err, net.ErrClosed) {
-		n.log.Emit(event.ListenerFailed, slog.String("address", n.settings.Peers), slog.Any(event.KeyCause, err))
+		n.log.Emit(event.ListenerFailed, slog.String("address", n.settings.PeerAddr), slog.Any(event.KeyCause, err))
 	}
 }
 
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -91,17 +91,17 @@
 	for i := range routers {
 		vm := fmt.Sprintf("vm-%d", i)
 		s := &countedStore{Store: f.store}
-		settings := &Settings{VM: vm, FailureDomain: "zone-1", Peers: "127.0.0.1:0", Drain: 500 * time.Millisecond}
+		settings := &Settings{VM: vm, FailureDomain: "zone-1", PeerAddr: "127.0.0.1:0", DrainTime: 500 * time.Millisecond}
 		n := New(settings, Environment{Store: s, Clock: func() escrow.ClockReading { return escrow.ClockReading{} },
 			ConfigPrefix: "config/", IsConfig: func(item store.Item) bool { return item.Key == "config/x" }, DecodeConfig: testConfig,
 			EvacuatedDomain: func(key string) (string, bool) { return strings.CutPrefix(key, "config/evacuate/") },
 			ServersPrefix:   "servers/", DecodeServer: func(store.Item) (fleet.Entry, error) { return fleet.Entry{}, nil },
 		}, event.Discard(), vm)
 		var err error
-		n.peerListener, err = listenOn(&settings.Peers)
+		n.peerListener, err = listenOn(&settings.PeerAddr)
 		f.Assert(err, qt.IsNil)
 		f.stores[vm], f.nodes[vm] = s, n
-		record, err := json.Marshal(MemberRecord{Address: "127.0.0.1:1", Peer: settings.Peers, Domain: "zone-1", Capacity: 1})
+		record, err := json.Marshal(MemberRecord{Address: "127.0.0.1:1", Peer: settings.PeerAddr, Domain: "zone-1", Capacity: 1})
 		f.Assert(err, qt.IsNil)
 		f.store.Put(MemberPrefix+vm, record)
 	}
@@ -191,7 +191,7 @@
 	f.Assert(f.nodes[f.reader].peerListener.Close(), qt.IsNil)
 	for vm, n := range f.nodes {
 		if vm != f.reader {
-			n.peers.Forget(f.nodes[f.reader].settings.Peers)
+			n.peers.Forget(f.nodes[f.reader].settings.PeerAddr)
 		}
 	}
 	f.store.Put("config/x", []byte("2"))
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -19,23 +19,23 @@
 	FailureDomain string
 
 	// Listen addresses in the form IP:port.
-	Callers   string
-	Ready     string
-	Directory string
-	Metrics   string
-	Peers     string // for other routers
+	CallerAddr    string
+	ReadyAddr     string
+	DirectoryAddr string
+	MetricsAddr   string
+	PeerAddr      string // for other routers
 
-	// Seeds are peer addresses of some routers, possibly stale. A router that starts while
+	// SeedAddrs are peer addresses of some routers, possibly stale. A router that starts while
 	// the store is unreachable gets its initial state from one of them.
-	Seeds []string
+	SeedAddrs []string
 
-	Store string // address of the key-value store
+	StoreAddr string // address of the key-value store
 
-	// Drain is how long a backend server keeps serving after it announced that it leaves.
-	Drain time.Duration
+	// DrainTime is how long a backend server keeps serving after it announced that it leaves.
+	DrainTime time.Duration
 
-	// Grace is the maximum duration of a graceful shutdown.
-	Grace time.Duration
+	// GracePeriod is the maximum duration of a graceful shutdown.
+	GracePeriod time.Duration
 	// EntryTTL is how long callers may cache router addresses from the directory.
 	EntryTTL time.Duration
 
@@ -74,15 +74,15 @@
 	s := &Settings{
 		VM:            p.text("router", "vm"),
 		FailureDomain: p.text("router", "failure_domain"),
-		Callers:       p.address("listen", "callers"),
-		Ready:         p.address("listen", "ready"),
-		Directory:     p.address("listen", "directory"),
-		Metrics:       p.address("listen", "metrics"),
-		Peers:         p.address("listen", "peers"),
-		Seeds:         p.addresses("router", "seeds"),
-		Store:         p.address("store", "address"),
-		Drain:         time.Duration(p.number("store", "drain_ms", 0)) * time.Millisecond,
-		Grace:         p.seconds("router", "grace_s", 0),
+		CallerAddr:    p.address("listen", "callers"),
+		ReadyAddr:     p.address("listen", "ready"),
+		DirectoryAddr: p.address("listen", "directory"),
+		MetricsAddr:   p.address("listen", "metrics"),
+		PeerAddr:      p.address("listen", "peers"),
+		SeedAddrs:     p.addresses("router", "seeds"),
+		StoreAddr:     p.address("store", "address"),
+		DrainTime:     time.Duration(p.number("store", "drain_ms", 0)) * time.Millisecond,
+		GracePeriod:   p.seconds("router", "grace_s", 0),
 		EntryTTL:      p.seconds("router", "entry_ttl_s", defaultEntryTTL),
 		RetryRatio:    p.number("retries", "ratio", 0),
 		RetryExtra:    p.number("retries", "extra", 0),
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -32,9 +32,9 @@
 func TestSettingsAreRead(t *testing.T) {
 	s, err := ParseSettings([]byte(whole))
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, s.Grace, qt.Equals, 8*time.Second)
-	qt.Assert(t, s.Drain, qt.Equals, 2*time.Second)
-	qt.Assert(t, s.Seeds, qt.DeepEquals, []string{"10.1.0.40:8229", "10.2.0.29:8229"})
+	qt.Assert(t, s.GracePeriod, qt.Equals, 8*time.Second)
+	qt.Assert(t, s.DrainTime, qt.Equals, 2*time.Second)
+	qt.Assert(t, s.SeedAddrs, qt.DeepEquals, []string{"10.1.0.40:8229", "10.2.0.29:8229"})
 	qt.Assert(t, s.RetryExtra, qt.Equals, 54.0)
 }
 
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -26,7 +26,7 @@
 	n.grants.StopAccepting()
 	close(n.stopSignal)
 	n.log.Emit(event.DrainStarted, slog.Int64("in_hand", n.inFlight.Load()))
-	deadline := start.Add(n.settings.Grace - grantReturnTime)
+	deadline := start.Add(n.settings.GracePeriod - grantReturnTime)
 	for time.Now().Before(deadline) {
 		if time.Since(start) > minAcceptTime && n.inFlight.Load() == 0 {
 			break
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -30,7 +30,7 @@
 
 // Guards against requests that are taken while a stopping router returns its grants, and cut off.
 func TestRouterThatLeavesTakesNothing(t *testing.T) {
-	n := New(&Settings{VM: "vm-0", Grace: 8 * time.Second}, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
+	n := New(&Settings{VM: "vm-0", GracePeriod: 8 * time.Second}, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
 	n.stopping.Store(true)
 	n.stopStartedAt.Store(time.Now().UnixMilli()) // long requests are still taken
 	n.refusing.Store(true)
--- a/internal/node/warm_test.go
+++ b/internal/node/warm_test.go
@@ -23,7 +23,7 @@
 func newWarmers(t testing.TB, routers int) *warmers {
 	w := &warmers{C: qt.New(t), now: time.Unix(1000, 0)}
 	for i := range routers {
-		settings := &Settings{VM: fmt.Sprint("vm-", i), FailureDomain: "zone-1", Callers: "127.0.0.1:1", Capacity: 1}
+		settings := &Settings{VM: fmt.Sprint("vm-", i), FailureDomain: "zone-1", CallerAddr: "127.0.0.1:1", Capacity: 1}
 		w.nodes = append(w.nodes, New(settings, Environment{Now: func() time.Time { return w.now },
 			Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), settings.VM))
 	}
@@ -34,7 +34,7 @@
 func (w *warmers) learn(routers []*Node, listed []*Node) {
 	items := make([]store.Item, 0, len(listed))
 	for i, n := range listed {
-		record, err := json.Marshal(MemberRecord{Address: n.settings.Callers, Peer: fmt.Sprintf("10.0.0.1:%d", i+1), Domain: "zone-1",
+		record, err := json.Marshal(MemberRecord{Address: n.settings.CallerAddr, Peer: fmt.Sprintf("10.0.0.1:%d", i+1), Domain: "zone-1",
 			Capacity: n.settings.Capacity})
 		w.Assert(err, qt.IsNil)
 		items = append(items, store.Item{Key: MemberPrefix + n.settings.VM, Value: record, Revision: 1})
