--- a/internal/escrow/draw.go
+++ b/internal/escrow/draw.go
@@ -54,30 +54,30 @@
 		topUp = topUpThreshold
 	}
 	for _, account := range accounts {
-		p := m.grant(account)
-		p.updateRate(now.Steady)
-		as := m.role(p)
-		granted, wanted := p.plan(budgets[account], as, topUp)
+		g := m.grant(account)
+		g.updateRate(now.Steady)
+		as := m.role(g)
+		granted, wanted := g.plan(budgets[account], as, topUp)
 		// An unanswered write must be followed by another of the same record: that
 		// moves the revision, after which the first one can't land any more.
 		// What a predecessor on this VM left is freed at once, whoever is home now.
-		wanted = wanted || p.record.HasOtherEntries(m.o.VM, m.o.Incarnation)
-		wanted = wanted || refreshLedger && !m.storeDown && p.needsReport(p.record.GrantEntry(m.o.VM, m.o.Incarnation), budgets[account])
-		if (wanted || p.pendingRevision != noPendingWrite) && p.recordKnown && len(d.grants) < maxTxnAccounts {
-			m.addGrant(&d, p, granted)
+		wanted = wanted || g.record.HasOtherEntries(m.o.VM, m.o.Incarnation)
+		wanted = wanted || refreshLedger && !m.storeDown && g.needsReport(g.record.GrantEntry(m.o.VM, m.o.Incarnation), budgets[account])
+		if (wanted || g.pendingRevision != noPendingWrite) && g.recordKnown && len(d.grants) < maxTxnAccounts {
+			m.addGrant(&d, g, granted)
 			due = true
 		} else {
-			granted = p.granted
+			granted = g.granted
 		}
-		ceiling, short := p.nextCeiling(granted, budgets[account], as, m.roundTrip)
-		next := Allowance{Ceiling: ceiling, OutageRate: p.nextOutageRate(budgets[account])}
+		ceiling, short := g.nextCeiling(granted, budgets[account], as, m.roundTrip)
+		next := Allowance{Ceiling: ceiling, OutageRate: g.nextOutageRate(budgets[account])}
 		if as == home {
-			next.OutageReserve = int64(outageReserveShare * float64(p.remaining(budgets[account])))
+			next.OutageReserve = int64(outageReserveShare * float64(g.remaining(budgets[account])))
 		}
 		if m.storeDown {
 			// What waits or is refused in an outage lowers the rate, and with it what
 			// may be spent; nothing is gained by stating less.
-			next = Allowance{max(next.Ceiling, p.allowance.Ceiling), max(next.OutageRate, p.allowance.OutageRate), p.allowance.OutageReserve}
+			next = Allowance{max(next.Ceiling, g.allowance.Ceiling), max(next.OutageRate, g.allowance.OutageRate), g.allowance.OutageReserve}
 		}
 		d.ledger.Allowances[account] = next
 		due = due || short
@@ -103,8 +103,8 @@
 // answer; higher allowances count only once they are stored.
 func (m *GrantManager) lowerAllowances(ledger Ledger) {
 	for account, next := range ledger.Allowances {
-		p := m.grant(account)
-		p.allowance = p.allowance.elementwiseMin(next)
+		g := m.grant(account)
+		g.allowance = g.allowance.elementwiseMin(next)
 	}
 }
 
@@ -117,9 +117,9 @@
 // others. One that only borrows, or has used up what it once drew, needs no ledger: its
 // successor has nothing to free.
 func (m *GrantManager) holdsTokens(budgets map[string]int64) bool {
-	for account, p := range m.grants {
-		unused := float64(p.granted - p.used())
-		if m.role(p) != borrower || p.pendingRevision != noPendingWrite || p.granted > 0 && unused > minFreeableShare*float64(budgets[account]) {
+	for account, g := range m.grants {
+		unused := float64(g.granted - g.used())
+		if m.role(g) != borrower || g.pendingRevision != noPendingWrite || g.granted > 0 && unused > minFreeableShare*float64(budgets[account]) {
 			return true
 		}
 	}
@@ -128,16 +128,16 @@
 
 // addGrant puts one account's new figure into a transaction. A smaller grant counts
 // from now on, before it is stored; a larger one only once it is stored.
-func (m *GrantManager) addGrant(d *draw, p *grant, granted int64) {
-	p.seq++
-	figure := GrantEntry{Seq: p.seq, Granted: granted, Spent: p.netSpent()}
-	next := p.record.WithEntry(m.o.VM, m.o.Incarnation, figure, m.maxSpent(d, p))
-	p.granted = min(p.granted, granted)
-	d.pendingRevision = append(d.pendingRevision, p.pendingRevision)
-	p.pendingRevision = p.revision
-	d.grants = append(d.grants, p)
+func (m *GrantManager) addGrant(d *draw, g *grant, granted int64) {
+	g.seq++
+	figure := GrantEntry{Seq: g.seq, Granted: granted, Spent: g.netSpent()}
+	next := g.record.WithEntry(m.o.VM, m.o.Incarnation, figure, m.maxSpent(d, g))
+	g.granted = min(g.granted, granted)
+	d.pendingRevision = append(d.pendingRevision, g.pendingRevision)
+	g.pendingRevision = g.revision
+	d.grants = append(d.grants, g)
 	d.figures = append(d.figures, figure)
-	d.putRecord(m.accountKey(p), p.revision, next)
+	d.putRecord(m.accountKey(g), g.revision, next)
 }
 
 // putRecord adds the write of a record under the condition that it is at a revision.
@@ -147,8 +147,8 @@
 	d.txn.Puts = append(d.txn.Puts, store.Put{Key: key, Value: next.Encode()})
 }
 
-func (m *GrantManager) accountKey(p *grant) string {
-	return m.o.Prefix + AccountKeyPrefix + p.account
+func (m *GrantManager) accountKey(g *grant) string {
+	return m.o.Prefix + AccountKeyPrefix + g.account
 }
 
 // closedGrant is how one account's grant of a dead incarnation was closed.
@@ -160,10 +160,10 @@
 
 // maxSpent judges this VM's dead incarnations by the ledger that the last left, and notes
 // in the draw what came of it.
-func (m *GrantManager) maxSpent(d *draw, p *grant) MaxSpentFunc {
+func (m *GrantManager) maxSpent(d *draw, g *grant) MaxSpentFunc {
 	return func(incarnation string, figure GrantEntry) int64 {
-		judged := m.predecessorLedger.BoundSpending(p.account, incarnation, m.o.Address, figure.Granted, m.startClock, m.leaseHolder == incarnation)
-		d.closedGrants = append(d.closedGrants, closedGrant{p.account, incarnation, figure, judged})
+		judged := m.predecessorLedger.BoundSpending(g.account, incarnation, m.o.Address, figure.Granted, m.startClock, m.leaseHolder == incarnation)
+		d.closedGrants = append(d.closedGrants, closedGrant{g.account, incarnation, figure, judged})
 		return judged.Max
 	}
 }
@@ -200,14 +200,14 @@
 		if errors.Is(err, store.ErrLeaseGone) {
 			m.contactLease, m.contactWritten = 0, false
 		}
-		for i, p := range d.grants {
-			p.pendingRevision = d.pendingRevision[i]
-			p.applyRecord(p.record, p.revision, p.record.GrantEntry(m.o.VM, m.o.Incarnation))
+		for i, g := range d.grants {
+			g.pendingRevision = d.pendingRevision[i]
+			g.applyRecord(g.record, g.revision, g.record.GrantEntry(m.o.VM, m.o.Incarnation))
 		}
 	default:
 		m.ledgerKnown = false
-		for _, p := range d.grants {
-			p.recordKnown = false
+		for _, g := range d.grants {
+			g.recordKnown = false
 		}
 		m.o.Log.Emit(event.DrawUnknown, slog.Int("accounts", len(d.grants)), slog.Any(event.KeyCause, err))
 	}
@@ -230,10 +230,10 @@
 	for account, allowance := range d.ledger.Allowances {
 		m.grant(account).allowance = allowance
 	}
-	for i, p := range d.grants {
-		p.applyRecord(d.records[i], int64(result.Revision), d.figures[i])
-		m.o.Log.Emit(event.DrawLanded, slog.String(event.KeyBudget, p.account), slog.Int64("granted", p.granted),
-			slog.Int64("spent", p.spent), slog.Int64("reserved", p.reserved), slog.Int64("revision", p.revision))
+	for i, g := range d.grants {
+		g.applyRecord(d.records[i], int64(result.Revision), d.figures[i])
+		m.o.Log.Emit(event.DrawLanded, slog.String(event.KeyBudget, g.account), slog.Int64("granted", g.granted),
+			slog.Int64("spent", g.spent), slog.Int64("reserved", g.reserved), slog.Int64("revision", g.revision))
 	}
 }
 
@@ -247,16 +247,16 @@
 	if item, found := current[m.o.Prefix+ledgerKeyPrefix+m.o.VM]; found {
 		m.applyLedgerItem(item)
 	}
-	for i, p := range d.grants {
-		p.pendingRevision = d.pendingRevision[i] // this transaction is answered: it never lands
-		item, found := current[m.accountKey(p)]
+	for i, g := range d.grants {
+		g.pendingRevision = d.pendingRevision[i] // this transaction is answered: it never lands
+		item, found := current[m.accountKey(g)]
 		switch {
 		case found:
-			m.applyRecordItem(p, item)
-		case p.revision == 0:
-			p.applyRecord(p.record, 0, GrantEntry{})
+			m.applyRecordItem(g, item)
+		case g.revision == 0:
+			g.applyRecord(g.record, 0, GrantEntry{})
 		default:
-			p.recordKnown = false
+			g.recordKnown = false
 		}
 	}
 	m.wakeUp()
--- a/internal/escrow/gather_test.go
+++ b/internal/escrow/gather_test.go
@@ -19,8 +19,8 @@
 
 // Guards against calls to a router that holds less than another, or that gave no answer of late.
 func TestTheLargestHolderIsAsked(t *testing.T) {
-	b := newBench(1_000_000)
-	k := b.keeper("p1", noPeers{})
+	b := newTestbed(1_000_000)
+	k := b.newManager("p1", noPeers{})
 	k.vmAddresses = map[string]string{k.o.VM: "own", "vm-2": "two", "vm-3": "three"}
 	r := newRecord()
 	r.Holders[k.o.VM] = map[string]GrantEntry{"p1": {Granted: 900_000}}
@@ -53,14 +53,14 @@
 // Guards against callers who are sent back, again and again, for tokens that a router had borrowed when it last wrote.
 func TestReportOfAHolderReplacesItsOldFigure(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(100_000)
+	b := newTestbed(100_000)
 	b.steady = time.Minute
 	record := newRecord().WithEntry("vm-2", "p2", GrantEntry{Seq: 1, Granted: 0, Spent: -17_000}, nil)
 	record.Closed, record.ClosedSpent = 100_000, 100_000
 	b.store.Put("budget/account/boatyard", record.Encode())
 	other := Ledger{Format: ledgerFormat, Incarnation: "p2", Address: "two", Allowances: map[string]Allowance{}}
 	b.store.Put("budget/router/vm-2", other.Encode())
-	k := b.keeper("p1", usedUpPeers{spent: 0})
+	k := b.newManager("p1", usedUpPeers{spent: 0})
 	k.syncStore(context.Background(), true)
 
 	h := k.newPendingReservation("boatyard", 8_000, true, "")
@@ -79,7 +79,7 @@
 // Guards against a report that counts as spent what may come back in a moment.
 func TestReportLeavesOutWhatWasJustLent(t *testing.T) {
 	c := qt.New(t)
-	b, k, _ := startedBench()
+	b, k, _ := startTestbed()
 	c.Assert(k.Lend("boatyard", 2_000, noWaiter).Spent, qt.Equals, int64(2_000))
 	c.Assert(k.Lend("boatyard", 3_000, noWaiter).Spent, qt.Equals, int64(3_000))
 	b.steady += 2 * recentLoanWindow
--- a/internal/escrow/holders_test.go
+++ b/internal/escrow/holders_test.go
@@ -244,9 +244,9 @@
 // Guards against a false, final refusal by a home that has just started.
 func TestHomeWithoutConfigurationSaysNothingOfBudgets(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(1_000_000)
+	b := newTestbed(1_000_000)
 	b.steady = time.Minute
-	k := b.keeper("p1", noPeers{})
+	k := b.newManager("p1", noPeers{})
 	k.syncStore(context.Background(), true)
 	k.recordsReadAt = b.steady
 	k.o.Budgets = func() map[string]int64 { return nil }
--- a/internal/escrow/keeper.go
+++ b/internal/escrow/keeper.go
@@ -141,10 +141,10 @@
 
 // Reservation sets tokens aside for one request.
 type Reservation struct {
-	keeper *GrantManager
-	grant  *grant
-	tokens int64
-	once   sync.Once
+	manager *GrantManager
+	grant   *grant
+	tokens  int64
+	once    sync.Once
 }
 
 // Settle books what the request used and frees the rest. Only the first call counts.
@@ -153,8 +153,8 @@
 		return
 	}
 	r.once.Do(func() {
-		r.keeper.mu.Lock()
-		defer r.keeper.mu.Unlock()
+		r.manager.mu.Lock()
+		defer r.manager.mu.Unlock()
 		// What was delivered beyond the reservation can't be unspent; it is booked
 		// whole, and the available rest goes below zero until the next draw.
 		r.grant.settle(r.tokens, used)
@@ -162,12 +162,12 @@
 }
 
 func (m *GrantManager) grant(account string) *grant {
-	p := m.grants[account]
-	if p == nil {
-		p = newGrant(account)
-		m.grants[account] = p
+	g := m.grants[account]
+	if g == nil {
+		g = newGrant(account)
+		m.grants[account] = g
 	}
-	return p
+	return g
 }
 
 func (m *GrantManager) wakeUp() {
@@ -284,7 +284,7 @@
 		}
 		m.contactLease, m.contactWritten = 0, false
 	}
-	lease, err := m.o.Store.Grant(ctx, contactLease)
+	lease, err := m.o.Store.Grant(ctx, contactLeaseTTL)
 	if err != nil {
 		m.o.Log.Emit(event.LeaseLost, slog.String("lease_of", "contact"), slog.Any(event.KeyCause, err))
 		return
@@ -328,12 +328,12 @@
 		return false
 	}
 	for account, prepaid := range budgets {
-		p := m.grant(account)
-		left := p.granted - p.used()
-		wanted := max(p.waitingTokens, int64(refillThreshold*float64(p.headroom(grantHorizon, int64(initialGrantShare*float64(prepaid)), m.role(p)))))
+		g := m.grant(account)
+		left := g.granted - g.used()
+		wanted := max(g.waitingTokens, int64(refillThreshold*float64(g.headroom(grantHorizon, int64(initialGrantShare*float64(prepaid)), m.role(g)))))
 		// A router that wants nothing is never short, also where it has used a little more
 		// than it got: all of a fleet read all records each 1.5 s for that.
-		if wanted > 0 && left < wanted && p.ungranted(prepaid) < wanted-left {
+		if wanted > 0 && left < wanted && g.ungranted(prepaid) < wanted-left {
 			return true
 		}
 	}
@@ -371,24 +371,24 @@
 		}
 	}
 	for account := range budgets {
-		if p := m.grant(account); !found[account] && !p.recordKnown {
-			p.applyRecord(newRecord(), 0, GrantEntry{})
+		if g := m.grant(account); !found[account] && !g.recordKnown {
+			g.applyRecord(newRecord(), 0, GrantEntry{})
 		}
 	}
 	return true
 }
 
 // applyRecordItem takes a record as the store has it.
-func (m *GrantManager) applyRecordItem(p *grant, item store.Item) {
-	if int64(item.Revision) < p.revision {
+func (m *GrantManager) applyRecordItem(g *grant, item store.Item) {
+	if int64(item.Revision) < g.revision {
 		return
 	}
 	record, err := DecodeRecord(item.Value)
 	if err != nil {
-		m.o.Log.Emit(event.InvariantBroken, slog.String(event.KeyBudget, p.account), slog.Any(event.KeyCause, err))
+		m.o.Log.Emit(event.InvariantBroken, slog.String(event.KeyBudget, g.account), slog.Any(event.KeyCause, err))
 		return
 	}
-	p.applyRecord(record, int64(item.Revision), record.GrantEntry(m.o.VM, m.o.Incarnation))
+	g.applyRecord(record, int64(item.Revision), record.GrantEntry(m.o.VM, m.o.Incarnation))
 }
 
 // applyLedgerItem takes this VM's ledger as the store has it. Ceilings of this process's own
--- a/internal/escrow/ledger.go
+++ b/internal/escrow/ledger.go
@@ -29,9 +29,9 @@
 	// predecessor's contact lease, which it renewed right after its last write, is
 	// still there.
 	confirmedClockMargin = 300 * time.Millisecond
-	// contactLease bounds what the store confirms: long enough for an outage, a
+	// contactLeaseTTL bounds what the store confirms: long enough for an outage, a
 	// loss of power right in it, and the restart.
-	contactLease = 10 * time.Second
+	contactLeaseTTL = 10 * time.Second
 	// maxReadingAge bounds the age of a reading on a steady clock that is believed: a
 	// clock that began anew shows anything.
 	maxReadingAge = 10 * time.Minute
@@ -107,7 +107,7 @@
 	}
 	age = now.Wall.Sub(c.Wall)
 	switch {
-	case leaseAlive && age >= 0 && age <= contactLease:
+	case leaseAlive && age >= 0 && age <= contactLeaseTTL:
 		return age + confirmedClockMargin, BasisContactLease
 	case age < -wallClockMargin:
 		return 0, BasisGrant
--- a/internal/escrow/ledger_test.go
+++ b/internal/escrow/ledger_test.go
@@ -71,10 +71,10 @@
 // Guards against losing the rest of a budget by deaths late in an outage.
 func TestPaceLosesLittleLateInAnOutage(t *testing.T) {
 	const prepaid, rate = 3_500_000, 100_000
-	p := newGrant("boatyard")
-	p.rate = rate
+	g := newGrant("boatyard")
+	g.rate = rate
 	outage := 6 * time.Second
-	allowed := Allowance{OutageRate: p.nextOutageRate(prepaid)}.limitAt(outage)
+	allowed := Allowance{OutageRate: g.nextOutageRate(prepaid)}.limitAt(outage)
 	used := int64(rate * (outage - outageGrace).Seconds())
 	qt.Assert(t, allowed > used, qt.IsTrue, qt.Commentf("%d allowed, %d used", allowed, used))
 	qt.Assert(t, float64(allowed-used) < 0.1*prepaid, qt.IsTrue, qt.Commentf("%d of %d lost", allowed-used, prepaid))
@@ -82,35 +82,35 @@
 
 // granted is an account of which this router was granted some tokens, and no other any.
 func granted(tokens int64) *grant {
-	p := newGrant("boatyard")
+	g := newGrant("boatyard")
 	mine := GrantEntry{Seq: 1, Granted: tokens}
-	p.applyRecord(newRecord().WithEntry("vm", "p1", mine, nil), 1, mine)
-	return p
+	g.applyRecord(newRecord().WithEntry("vm", "p1", mine, nil), 1, mine)
+	return g
 }
 
 // Guards against refusals in a cut early in a budget, in which nobody dies.
 func TestCutEarlyInABudgetIsBridged(t *testing.T) {
 	const prepaid, rate = 3_500_000, 100_000
-	p := granted(2_000_000)
-	p.rate, p.rateWeight, p.spent = rate, 1, 500_000
-	ceiling, _ := p.nextCeiling(p.granted, prepaid, home, 0)
-	allowed := Allowance{Ceiling: ceiling, OutageRate: p.nextOutageRate(prepaid), OutageReserve: int64(outageReserveShare * float64(p.remaining(prepaid)))}
+	g := granted(2_000_000)
+	g.rate, g.rateWeight, g.spent = rate, 1, 500_000
+	ceiling, _ := g.nextCeiling(g.granted, prepaid, home, 0)
+	allowed := Allowance{Ceiling: ceiling, OutageRate: g.nextOutageRate(prepaid), OutageReserve: int64(outageReserveShare * float64(g.remaining(prepaid)))}
 	for age := outageGrace + time.Second; age <= 8*time.Second; age += 100 * time.Millisecond {
-		used := p.spent + int64(1.5*rate*age.Seconds())
+		used := g.spent + int64(1.5*rate*age.Seconds())
 		qt.Assert(t, allowed.limitAt(age) >= used, qt.IsTrue, qt.Commentf("after %v: %d allowed, %d used", age, allowed.limitAt(age), used))
 	}
-	qt.Assert(t, allowed.limitAt(outageGrace) >= p.spent+int64(rate*minCeilingHeadroom.Seconds()), qt.IsTrue)
+	qt.Assert(t, allowed.limitAt(outageGrace) >= g.spent+int64(rate*minCeilingHeadroom.Seconds()), qt.IsTrue)
 }
 
 // Guards against a reserve that leaves nothing to those who come back from an outage.
 func TestReserveLosesHalfOfWhatIsLeftAtMost(t *testing.T) {
 	const prepaid, rate = 3_500_000, 100_000
 	for spent := int64(0); spent < prepaid; spent += 100_000 {
-		p := granted(prepaid)
-		p.rate, p.spent = rate, spent
-		remaining := p.remaining(prepaid)
-		ceiling, _ := p.nextCeiling(p.granted, prepaid, home, 0)
-		outageRate := p.nextOutageRate(prepaid)
+		g := granted(prepaid)
+		g.rate, g.spent = rate, spent
+		remaining := g.remaining(prepaid)
+		ceiling, _ := g.nextCeiling(g.granted, prepaid, home, 0)
+		outageRate := g.nextOutageRate(prepaid)
 		lost := Allowance{ceiling, outageRate, int64(outageReserveShare * float64(remaining))}.limitAt(8*time.Second) - ceiling
 		without := Allowance{ceiling, outageRate, 0}.limitAt(8*time.Second) - ceiling
 		qt.Assert(t, lost <= max(without, remaining/2), qt.IsTrue, qt.Commentf("%d of %d", lost, remaining))
@@ -120,38 +120,38 @@
 // Guards against deaths near a budget's end that lose what all who still come need.
 func TestCeilingComesCloserAsTheBudgetEnds(t *testing.T) {
 	const prepaid, rate = 3_500_000, 100_000
-	p := granted(prepaid)
-	p.rate = rate
-	qt.Assert(t, p.ceilingHeadroom(prepaid) > 2400*time.Millisecond, qt.IsTrue)
-	p.spent = 2_000_000
-	qt.Assert(t, p.ceilingHeadroom(prepaid), qt.Equals, 1050*time.Millisecond)
-	p.spent = 3_400_000
-	qt.Assert(t, p.ceilingHeadroom(prepaid), qt.Equals, minCeilingHeadroom)
-	p.rate = 0
-	qt.Assert(t, p.ceilingHeadroom(prepaid), qt.Equals, maxCeilingHeadroom)
+	g := granted(prepaid)
+	g.rate = rate
+	qt.Assert(t, g.ceilingHeadroom(prepaid) > 2400*time.Millisecond, qt.IsTrue)
+	g.spent = 2_000_000
+	qt.Assert(t, g.ceilingHeadroom(prepaid), qt.Equals, 1050*time.Millisecond)
+	g.spent = 3_400_000
+	qt.Assert(t, g.ceilingHeadroom(prepaid), qt.Equals, minCeilingHeadroom)
+	g.rate = 0
+	qt.Assert(t, g.ceilingHeadroom(prepaid), qt.Equals, maxCeilingHeadroom)
 }
 
 // Guards against spending tokens whose return is not answered.
 func TestUnansweredReturnIsNotSpent(t *testing.T) {
-	p := newGrant("boatyard")
-	p.applyRecord(newRecord(), 5, GrantEntry{Granted: 1000})
-	qt.Assert(t, p.granted, qt.Equals, int64(1000))
-	p.granted, p.pendingRevision = 400, 5 // sent: granted 400, expected at revision 5
+	g := newGrant("boatyard")
+	g.applyRecord(newRecord(), 5, GrantEntry{Granted: 1000})
+	qt.Assert(t, g.granted, qt.Equals, int64(1000))
+	g.granted, g.pendingRevision = 400, 5 // sent: granted 400, expected at revision 5
 
-	p.applyRecord(newRecord(), 5, GrantEntry{Granted: 1000})
-	qt.Assert(t, p.granted, qt.Equals, int64(400), qt.Commentf("the write may land yet"))
+	g.applyRecord(newRecord(), 5, GrantEntry{Granted: 1000})
+	qt.Assert(t, g.granted, qt.Equals, int64(400), qt.Commentf("the write may land yet"))
 
-	p.applyRecord(newRecord(), 6, GrantEntry{Granted: 1000})
-	qt.Assert(t, p.granted, qt.Equals, int64(1000), qt.Commentf("another write came first"))
+	g.applyRecord(newRecord(), 6, GrantEntry{Granted: 1000})
+	qt.Assert(t, g.granted, qt.Equals, int64(1000), qt.Commentf("another write came first"))
 }
 
 // Guards against an outage rate above the one that a successor may find.
 func TestPaceRisesOnlyWhenStored(t *testing.T) {
-	p := newGrant("boatyard")
-	p.granted, p.allowance = 10_000, Allowance{Ceiling: 100, OutageRate: 50}
+	g := newGrant("boatyard")
+	g.granted, g.allowance = 10_000, Allowance{Ceiling: 100, OutageRate: 50}
 	age := outageGrace + time.Second
-	qt.Assert(t, p.available(0), qt.Equals, int64(100))
-	qt.Assert(t, p.available(age), qt.Equals, int64(150))
-	p.granted = 120
-	qt.Assert(t, p.available(age), qt.Equals, int64(120), qt.Commentf("never beyond the grant"))
+	qt.Assert(t, g.available(0), qt.Equals, int64(100))
+	qt.Assert(t, g.available(age), qt.Equals, int64(150))
+	g.granted = 120
+	qt.Assert(t, g.available(age), qt.Equals, int64(120), qt.Commentf("never beyond the grant"))
 }
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -183,7 +183,7 @@
 }
 
 func (r *pendingReservation) reservation() *Reservation {
-	return &Reservation{keeper: r.manager, grant: r.grant, tokens: r.tokens}
+	return &Reservation{manager: r.manager, grant: r.grant, tokens: r.tokens}
 }
 
 // minDrawTimeout is the shortest time that a reservation waits for a draw before it asks other
--- a/internal/escrow/world_test.go
+++ b/internal/escrow/world_test.go
@@ -19,24 +19,24 @@
 }
 
 // Budgets of the world. The first is small beside one request, the second roomy.
-var paid = map[string]int64{"boatyard": 60_000, "depot": 150_000}
+var prepaidBudgets = map[string]int64{"boatyard": 60_000, "depot": 150_000}
 
-// world is some routers on one store, under any schedule of failures. Nothing runs
+// cluster is some routers on one store, under any schedule of failures. Nothing runs
 // by itself: each action is one step, and time moves only by the action tick.
-type world struct {
+type cluster struct {
 	t       *rapid.T
 	store   *memstore.Store
 	steady  time.Duration
 	wall    time.Time
-	routers []*router
+	routers []*simRouter
 	born    int
 	// consumed is what backend servers have delivered, by account: the truth that
 	// must never pass what was paid.
 	consumed map[string]int64
 }
 
-// router is one VM with its present process.
-type router struct {
+// simRouter is one VM with its present process.
+type simRouter struct {
 	vm     string
 	keeper *GrantManager
 	open   []*Reservation
@@ -45,25 +45,25 @@
 	skew time.Duration
 }
 
-func newWorld(t *rapid.T, vms int) *world {
-	w := &world{t: t, wall: time.Unix(1_800_000_000, 0), consumed: make(map[string]int64)}
+func newWorld(t *rapid.T, vms int) *cluster {
+	w := &cluster{t: t, wall: time.Unix(1_800_000_000, 0), consumed: make(map[string]int64)}
 	w.store = memstore.New(func() time.Time { return time.Unix(0, 0).Add(w.steady) })
 	for i := 0; i < vms; i++ {
-		w.routers = append(w.routers, &router{vm: fmt.Sprintf("vm-%d", i)})
+		w.routers = append(w.routers, &simRouter{vm: fmt.Sprintf("vm-%d", i)})
 		w.start(w.routers[i])
 	}
 	return w
 }
 
 // start begins a new process on a VM; the one before is dead.
-func (w *world) start(r *router) {
+func (w *cluster) start(r *simRouter) {
 	w.born++
 	boot := fmt.Sprintf("%s-boot-%d", r.vm, r.boot)
 	skew := r.skew
 	r.open = nil
 	r.keeper = New(Options{
 		Store: w.store, Prefix: "budget/", VM: r.vm, Address: r.vm, Incarnation: fmt.Sprintf("p%d", w.born),
-		Budgets: func() map[string]int64 { return paid },
+		Budgets: func() map[string]int64 { return prepaidBudgets },
 		Log:     event.Discard(),
 		Clock: func() ClockReading {
 			return ClockReading{Boot: boot, Steady: w.steady + skew, Wall: w.wall.Add(w.steady)}
@@ -75,7 +75,7 @@
 }
 
 // homeOf spreads the accounts over the routers.
-func (w *world) homeOf(r *router, account string) string {
+func (w *cluster) homeOf(r *simRouter, account string) string {
 	home := w.routers[len(account)%len(w.routers)]
 	if home == r {
 		return ""
@@ -92,16 +92,16 @@
 func (noPeers) Borrow(context.Context, string, int64) (int64, int64)    { return 0, 0 }
 func (noPeers) HandOver(context.Context, string, map[string]int64) bool { return false }
 
-func (w *world) router(name string) *router {
+func (w *cluster) router(name string) *simRouter {
 	return w.routers[rapid.IntRange(0, len(w.routers)-1).Draw(w.t, name)]
 }
 
-func (w *world) account() string {
+func (w *cluster) account() string {
 	return rapid.SampledFrom([]string{"boatyard", "depot"}).Draw(w.t, "account")
 }
 
 // reserve sets tokens aside, if the router has them at hand.
-func (w *world) reserve(*rapid.T) {
+func (w *cluster) reserve(*rapid.T) {
 	r, account := w.router("router"), w.account()
 	tokens := rapid.Int64Range(1, 15_000).Draw(w.t, "tokens")
 	h := r.keeper.newPendingReservation(account, tokens, true, "")
@@ -121,7 +121,7 @@
 
 // work is some seconds of steady use at one router: it draws, and delivers all that
 // it gets.
-func (w *world) work(*rapid.T) {
+func (w *cluster) work(*rapid.T) {
 	r, account := w.router("router"), w.account()
 	for i := rapid.IntRange(1, 12).Draw(w.t, "requests"); i > 0; i-- {
 		h := r.keeper.newPendingReservation(account, rapid.Int64Range(1, 15_000).Draw(w.t, "tokens"), true, "")
@@ -138,7 +138,7 @@
 }
 
 // deliver ends a request that got its tokens; one that didn't is refused after a while.
-func (w *world) deliver(account string, h *pendingReservation) {
+func (w *cluster) deliver(account string, h *pendingReservation) {
 	if h.missing > 0 {
 		h.release()
 		w.steady += 200 * time.Millisecond
@@ -149,7 +149,7 @@
 }
 
 // settle ends a request that delivered some of what was reserved.
-func (w *world) settle(*rapid.T) {
+func (w *cluster) settle(*rapid.T) {
 	r := w.router("router")
 	if len(r.open) == 0 {
 		return
@@ -162,14 +162,14 @@
 	reservation.Settle(used)
 }
 
-func (w *world) syncStore(*rapid.T) {
+func (w *cluster) syncStore(*rapid.T) {
 	r := w.router("router")
 	r.keeper.syncStore(context.Background(), rapid.Bool().Draw(w.t, "refresh"))
 }
 
 // lend moves tokens between two routers; the answer may be lost and the loan
 // voided, or lost for good.
-func (w *world) lend(*rapid.T) {
+func (w *cluster) lend(*rapid.T) {
 	from, to, account := w.router("from"), w.router("to"), w.account()
 	from.keeper.mu.Lock()
 	available := from.keeper.grant(account).available(from.keeper.contactAge())
@@ -182,7 +182,7 @@
 }
 
 // answer ends a loan: its answer arrives, or is lost and the loan voided, or lost for good.
-func (w *world) answer(from, to *router, account string, given int64) {
+func (w *cluster) answer(from, to *simRouter, account string, given int64) {
 	switch rapid.SampledFrom([]string{"arrives", "voided", "lost"}).Draw(w.t, "answer") {
 	case "arrives":
 		to.keeper.Accept(map[string]int64{account: given})
@@ -193,7 +193,7 @@
 
 // ask lends to a request that asks a router as a holder, which holds ahead of need from then
 // on, whoever the account's home is. The answer may be lost, as with any loan.
-func (w *world) ask(*rapid.T) {
+func (w *cluster) ask(*rapid.T) {
 	from, to, account := w.router("holder"), w.router("borrower"), w.account()
 	from.keeper.mu.Lock()
 	available := from.keeper.grant(account).available(from.keeper.contactAge())
@@ -207,7 +207,7 @@
 }
 
 // handBack is a sweep whose gifts arrive, or are lost.
-func (w *world) handBack(*rapid.T) {
+func (w *cluster) handBack(*rapid.T) {
 	from := w.router("borrower")
 	for address, tokens := range from.keeper.takeSurplus() {
 		if !rapid.Bool().Draw(w.t, "arrives") {
@@ -222,13 +222,13 @@
 }
 
 // die ends a process; what it had reserved may have been delivered whole.
-func (w *world) die(r *router) {
+func (w *cluster) die(r *simRouter) {
 	for _, reservation := range r.open {
 		w.consumed[reservation.grant.account] += rapid.Int64Range(0, reservation.tokens).Draw(w.t, "delivered")
 	}
 }
 
-func (w *world) kill(*rapid.T) {
+func (w *cluster) kill(*rapid.T) {
 	r := w.router("router")
 	w.die(r)
 	w.tickBy("down")
@@ -236,7 +236,7 @@
 }
 
 // losePower is a kill after which the steady clock shows anything.
-func (w *world) losePower(*rapid.T) {
+func (w *cluster) losePower(*rapid.T) {
 	r := w.router("router")
 	w.die(r)
 	w.tickBy("down")
@@ -245,7 +245,7 @@
 	w.start(r)
 }
 
-func (w *world) stop(*rapid.T) {
+func (w *cluster) stop(*rapid.T) {
 	r := w.router("router")
 	for len(r.open) > 0 {
 		reservation := r.open[0]
@@ -257,31 +257,31 @@
 	w.start(r)
 }
 
-func (w *world) tickBy(name string) {
+func (w *cluster) tickBy(name string) {
 	w.steady += time.Duration(rapid.Int64Range(0, 4000).Draw(w.t, name)) * time.Millisecond
 }
 
-func (w *world) tick(*rapid.T) {
+func (w *cluster) tick(*rapid.T) {
 	w.tickBy("ms")
 }
 
-func (w *world) outage(*rapid.T) {
+func (w *cluster) outage(*rapid.T) {
 	w.store.SetDown(rapid.IntRange(0, 3).Draw(w.t, "down") == 0)
 }
 
 // fates makes the store lose answers, or do writes late.
-func (w *world) fates(*rapid.T) {
+func (w *cluster) fates(*rapid.T) {
 	fate := rapid.SampledFrom([]memstore.Fate{memstore.Answered, memstore.Answered, memstore.Answered, memstore.Lost, memstore.Late, memstore.Dropped}).Draw(w.t, "fate")
 	w.store.SetFate(func(store.Txn) memstore.Fate { return fate })
 }
 
-func (w *world) settleLate(*rapid.T) {
+func (w *cluster) settleLate(*rapid.T) {
 	w.store.Settle()
 }
 
 // check is the promise: nobody consumes more than was paid, also if all that is
 // reserved now gets delivered whole.
-func (w *world) check(t *rapid.T) {
+func (w *cluster) check(t *rapid.T) {
 	most := make(map[string]int64)
 	for account, n := range w.consumed {
 		most[account] = n
@@ -292,8 +292,8 @@
 		}
 	}
 	for account, n := range most {
-		if n > paid[account] {
-			t.Fatalf("%s: %d tokens of %d paid", account, n, paid[account])
+		if n > prepaidBudgets[account] {
+			t.Fatalf("%s: %d tokens of %d paid", account, n, prepaidBudgets[account])
 		}
 	}
 }
@@ -313,8 +313,8 @@
 // worldPeers lends between the routers of the world; an answer may be lost.
 type worldPeers struct {
 	noPeers
-	w   *world
-	own *router
+	w   *cluster
+	own *simRouter
 }
 
 func (p worldPeers) BorrowFrom(_ context.Context, address, account string, tokens int64, waiter string) Loan {
@@ -334,7 +334,7 @@
 }
 
 // useUp is use at one router until all is granted, and what it gathers then from others.
-func (w *world) useUp(*rapid.T) {
+func (w *cluster) useUp(*rapid.T) {
 	r, account := w.router("router"), w.account()
 	r.keeper.o.Peers = worldPeers{w: w, own: r}
 	for range rapid.IntRange(1, 20).Draw(w.t, "requests") {
