--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -226,7 +226,7 @@
 	qt.Assert(t, s.Status(c.now()).Running, qt.Equals, 8)
 	c.advance(2 * maxLoadAge)
 	qt.Assert(t, s.Status(c.now()).Running, qt.Equals, 1)
-	s.Answered(100)
+	s.EndPrefill(100)
 	s.EndRequest()
 	qt.Assert(t, s.Status(c.now()), qt.Equals, Status{})
 }
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -17,10 +17,10 @@
 
 // Member is a router that accepts callers.
 type Member struct {
-	Name    string // name of the router's VM
-	Address string // IP:port for callers
-	Peer    string // IP:port for other routers
-	Domain  string // failure domain
+	Name        string // name of the router's VM
+	Address     string // IP:port for callers
+	PeerAddress string // IP:port for other routers
+	Domain      string // failure domain
 	// Capacity is the VM's capacity relative to other VMs, in cores of work.
 	Capacity float64
 }
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -166,8 +166,8 @@
 	s.prefill += prefill
 }
 
-// Answered subtracts the prompt tokens of a request whose answer has begun.
-func (s *Server) Answered(prefill float64) {
+// EndPrefill subtracts the prompt tokens of a request whose answer has begun.
+func (s *Server) EndPrefill(prefill float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.prefill = max(0, s.prefill-prefill)
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -11,46 +11,46 @@
 	"chicorytiller.example/chicorytiller/internal/upstream"
 )
 
-// relayWhole reads an answer to its end before the caller gets any of it.
-func (t *task) relayWhole(watch *watchdog, server *fleet.Server, reply *upstream.Reply) outcome {
-	body, err := io.ReadAll(io.LimitReader(reply, wholeAnswer))
+// relayBuffered reads an answer to its end before the caller gets any of it.
+func (t *task) relayBuffered(watch *watchdog, server *fleet.Server, reply *upstream.Reply) outcome {
+	body, err := io.ReadAll(io.LimitReader(reply, maxBufferedAnswer))
 	if err != nil {
-		return t.brokenBy(watch, server, err)
+		return t.handleBroken(watch, server, err)
 	}
-	if len(body) == wholeAnswer {
-		return t.relayLong(server, reply, body)
+	if len(body) == maxBufferedAnswer {
+		return t.relayUnbuffered(server, reply, body)
 	}
 	ownFailure := reply.Status >= http.StatusInternalServerError && reply.Status != http.StatusGatewayTimeout
-	if ownFailure && t.r.Route.Repeatable() && t.mayRepeat("failed") {
+	if ownFailure && t.r.Route.Repeatable() && t.acquireRetry("failed") {
 		t.logFailure(server, "failed", errors.Errorf("status %d", reply.Status))
-		return again
+		return retryGranted
 	}
 	server.RecordSuccess()
 	t.firstAt = time.Now()
 	if reply.Status == http.StatusOK {
-		t.answered = true
-		t.countOutput(reply.Output)
+		t.succeeded = true
+		t.setOutput(reply.Output)
 	}
 	if err := t.caller.Answer(reply.Status, reply.Header, body); err != nil {
 		return callerGone
 	}
-	t.served(server, reply.Status)
+	t.recordServed(server, reply.Status)
 	return finished
 }
 
-// countOutput notes the output of a whole answer. What the server doesn't tell counts
+// setOutput notes the output of a whole answer. What the server doesn't tell counts
 // as all that was asked for: less could spend what nobody paid.
-func (t *task) countOutput(output int) {
+func (t *task) setOutput(output int) {
 	t.output = output
 	if output == upstream.OutputUnknown {
 		t.output = t.r.OutputTokens
 	}
 }
 
-// relayLong passes on an answer that is too long to be held.
-func (t *task) relayLong(server *fleet.Server, reply *upstream.Reply, head []byte) outcome {
-	t.begun, t.firstAt = true, time.Now()
-	t.countOutput(reply.Output)
+// relayUnbuffered passes on an answer that is too long to be held.
+func (t *task) relayUnbuffered(server *fleet.Server, reply *upstream.Reply, head []byte) outcome {
+	t.headSent, t.firstAt = true, time.Now()
+	t.setOutput(reply.Output)
 	t.caller.Begin(reply.Status, reply.Header, reply.Length)
 	part := head
 	buf := make([]byte, 16<<10)
@@ -70,7 +70,7 @@
 		}
 		if err == io.EOF {
 			server.RecordSuccess()
-			t.served(server, reply.Status)
+			t.recordServed(server, reply.Status)
 			return finished
 		}
 		t.logFailure(server, "broken", err)
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -21,12 +21,12 @@
 type outcome int
 
 const (
-	finished   outcome = iota // the caller has its final answer
-	unreached                 // nothing was sent
-	rejected                  // the server did not run it
-	broken                    // the exchange broke before its end
-	again                     // to be repeated, which is allowed and counted
-	callerGone                // nobody waits any more
+	finished     outcome = iota // the caller has its final answer
+	unreachable                 // nothing was sent
+	rejected                    // the server did not run it
+	broken                      // the exchange broke before its end
+	retryGranted                // to be repeated, which is allowed and counted
+	callerGone                  // nobody waits any more
 )
 
 // attempt sends the request to one server and passes its answer on.
@@ -34,18 +34,18 @@
 	server := choice.Server
 	t.tried[server.Incarnation] = true
 	a := &upstream.Attempt{Request: t.r, Server: server, ResumeAfter: t.lastEvent, Resume: t.hasEvent}
-	if !t.due.IsZero() {
-		a.Left = time.Until(t.due)
+	if !t.deadline.IsZero() {
+		a.Left = time.Until(t.deadline)
 	}
-	t.sentAt, t.unread = time.Now(), choice.Unread
+	t.sentAt, t.prefill = time.Now(), choice.Unread
 	server.BeginRequest(choice.Unread)
 	defer server.EndRequest()
 	watch := t.watch(parent)
 	defer watch.stop()
 	reply, err := t.f.Backend.Do(watch.ctx, a)
-	server.Answered(choice.Unread)
+	server.EndPrefill(choice.Unread)
 	if err != nil {
-		return t.sendFailed(watch, server, err)
+		return t.handleSendError(watch, server, err)
 	}
 	defer reply.Close()
 	t.sends++
@@ -55,65 +55,65 @@
 	server.MarkCold(time.Now(), reply.Cold)
 	t.f.RateLimits.ObserveResponse(server, reply.RateLimit, t.sentAt)
 	if reply.NotExecuted || reply.Status == http.StatusMisdirectedRequest {
-		return t.rejectedBy(server, reply)
+		return t.handleRejection(server, reply)
 	}
 	t.mayHaveRun = true
 	t.f.Chooser.Sent(server, t.r)
 	if t.r.Route.Kind == policy.Streaming && reply.Status == http.StatusOK {
 		return t.relayEvents(watch, server, reply)
 	}
-	if t.begun {
-		return t.brokenBy(watch, server, errors.Errorf("status %d to a resumption", reply.Status))
+	if t.headSent {
+		return t.handleBroken(watch, server, errors.Errorf("status %d to a resumption", reply.Status))
 	}
-	return t.relayWhole(watch, server, reply)
+	return t.relayBuffered(watch, server, reply)
 }
 
-// sendFailed judges an attempt that brought no answer.
-func (t *task) sendFailed(watch *watchdog, server *fleet.Server, err error) outcome {
+// handleSendError judges an attempt that brought no answer.
+func (t *task) handleSendError(watch *watchdog, server *fleet.Server, err error) outcome {
 	if errors.Is(err, upstream.ErrNotSent) {
-		if watch.parent.Err() != nil && !t.late() {
+		if watch.parent.Err() != nil && !t.pastDeadline() {
 			return callerGone
 		}
 		if !server.Ineligible() {
 			server.RecordFailure(time.Now())
 		}
 		t.logFailure(server, "unreachable", err)
-		return unreached
+		return unreachable
 	}
 	t.sends++
 	t.mayHaveRun = true
-	return t.brokenBy(watch, server, err)
+	return t.handleBroken(watch, server, err)
 }
 
-// brokenBy judges an exchange that broke after the request was sent.
-func (t *task) brokenBy(watch *watchdog, server *fleet.Server, err error) outcome {
-	if watch.fired() {
+// handleBroken judges an exchange that broke after the request was sent.
+func (t *task) handleBroken(watch *watchdog, server *fleet.Server, err error) outcome {
+	if watch.hasExpired() {
 		server.RecordFailure(time.Now())
 		t.logFailure(server, "stalled", err)
-		return again
+		return retryGranted
 	}
-	if watch.parent.Err() != nil && !t.late() {
+	if watch.parent.Err() != nil && !t.pastDeadline() {
 		return callerGone
 	}
 	server.RecordFailure(time.Now())
 	t.logFailure(server, "broken", err)
-	if !t.late() && !upstream.Silent(err) {
-		t.suspect()
+	if !t.pastDeadline() && !upstream.Silent(err) {
+		t.recordCrash()
 	}
 	return broken
 }
 
-// suspect counts a server that broke while it ran the request. Some requests crash
+// recordCrash counts a server that broke while it ran the request. Some requests crash
 // every server that begins to run them, and callers send them again.
-func (t *task) suspect() {
-	if retry.StartsQuarantine(t.f.Quarantine.RecordCrash(t.content)) {
-		t.f.Log.Emit(event.RequestQuarantined, slog.String(event.KeyRequest, t.r.ID), slog.Uint64("content", t.content))
-		t.f.ReportCrash(t.content)
+func (t *task) recordCrash() {
+	if retry.StartsQuarantine(t.f.Quarantine.RecordCrash(t.contentHash)) {
+		t.f.Log.Emit(event.RequestQuarantined, slog.String(event.KeyRequest, t.r.ID), slog.Uint64("content", t.contentHash))
+		t.f.ReportCrash(t.contentHash)
 	}
 }
 
-func (t *task) rejectedBy(server *fleet.Server, reply *upstream.Reply) outcome {
-	if _, err := io.CopyN(io.Discard, reply, wholeAnswer); err != io.EOF {
+func (t *task) handleRejection(server *fleet.Server, reply *upstream.Reply) outcome {
+	if _, err := io.CopyN(io.Discard, reply, maxBufferedAnswer); err != io.EOF {
 		t.logFailure(server, "rejection unread", err) // the connection is closed for it
 	}
 	if reply.Status == http.StatusMisdirectedRequest {
--- a/internal/forward/ends.go
+++ b/internal/forward/ends.go
@@ -8,23 +8,23 @@
 	"chicorytiller.example/chicorytiller/internal/fleet"
 )
 
-// noServerCause says why there is no server to send the request to.
-func (t *task) noServerCause() Cause {
-	if refusal := t.f.obstacle(t.r); refusal != nil {
+// noBackendCause says why there is no server to send the request to.
+func (t *task) noBackendCause() Cause {
+	if refusal := t.f.checkServers(t.r); refusal != nil {
 		return refusal.Cause
 	}
 	return NoBackend // those that could take one have been tried
 }
 
 // failureCause keeps the promise of 'not run' truthful.
-func (t *task) failureCause(unrun Cause) Cause {
+func (t *task) failureCause(notRun Cause) Cause {
 	if t.mayHaveRun {
 		return BackendFailed
 	}
-	return unrun
+	return notRun
 }
 
-func (t *task) lateCause() Cause {
+func (t *task) timeoutCause() Cause {
 	if t.mayHaveRun {
 		return TimedOut
 	}
@@ -33,7 +33,7 @@
 
 // giveUp gives the caller its final answer; it returns true, for step.
 func (t *task) giveUp(cause Cause) bool {
-	if !t.begun {
+	if !t.headSent {
 		t.f.refuse(t.r, t.caller, NewRefusal(cause), t.policy, t)
 		return true
 	}
@@ -51,14 +51,14 @@
 	return true
 }
 
-func (t *task) served(server *fleet.Server, status int) {
+func (t *task) recordServed(server *fleet.Server, status int) {
 	whole := time.Since(t.r.Arrived)
 	first := t.firstAt.Sub(t.r.Arrived)
 	t.f.Metrics.Served(first, whole)
 	t.f.Log.Emit(event.RequestServed, append(t.attrs(), slog.String(event.KeyBackend, server.ID), slog.Int("status", status),
-		slog.Int64("first_ms", first.Milliseconds()), slog.Int64("reserved_ms", t.reserved.Milliseconds()),
-		slog.Int64("server_ms", t.firstAt.Sub(t.sentAt).Milliseconds()), slog.Int64("pause_ms", t.pause.Milliseconds()),
-		slog.Int64("unread", int64(t.unread)), slog.Int("events", t.events))...)
+		slog.Int64("first_ms", first.Milliseconds()), slog.Int64("reserved_ms", t.reserveTime.Milliseconds()),
+		slog.Int64("server_ms", t.firstAt.Sub(t.sentAt).Milliseconds()), slog.Int64("pause_ms", t.maxGap.Milliseconds()),
+		slog.Int64("unread", int64(t.prefill)), slog.Int("events", t.events))...)
 }
 
 func (t *task) attrs() []slog.Attr {
@@ -75,11 +75,11 @@
 	return attrs
 }
 
-func (t *task) logFailure(server *fleet.Server, how string, err error) {
-	t.lastFailure = how
+func (t *task) logFailure(server *fleet.Server, kind string, err error) {
+	t.lastFailure = kind
 	status := server.Status(time.Now())
 	t.f.Log.Emit(event.AttemptFailed, slog.String(event.KeyRequest, t.r.ID), slog.String(event.KeyBackend, server.ID),
-		slog.String("address", server.Address), slog.String("how", how), slog.Any(event.KeyCause, err),
+		slog.String("address", server.Address), slog.String("how", kind), slog.Any(event.KeyCause, err),
 		slog.Int("attempt", t.sends), slog.Int("failures", status.Failures),
 		slog.Int64("ms", time.Since(t.r.Arrived).Milliseconds()))
 }
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -23,27 +23,27 @@
 	for {
 		e, err := events.Next()
 		if err == io.EOF {
-			return t.endEvents(watch, server, reply)
+			return t.finishEvents(watch, server, reply)
 		}
 		if err != nil {
-			return t.brokenBy(watch, server, err)
+			return t.handleBroken(watch, server, err)
 		}
 		watch.progress()
 		if e.HasID && t.hasEvent && e.ID <= t.lastEvent {
 			continue // the caller has it from an earlier attempt
 		}
 		if e.HasID && t.hasEvent && e.ID != t.lastEvent+1 {
-			return t.brokenBy(watch, server, errors.Errorf("event %d after %d", e.ID, t.lastEvent))
+			return t.handleBroken(watch, server, errors.Errorf("event %d after %d", e.ID, t.lastEvent))
 		}
-		if err := t.passEvent(reply, e); err != nil {
+		if err := t.relayEvent(reply, e); err != nil {
 			return callerGone
 		}
 	}
 }
 
-func (t *task) passEvent(reply *upstream.Reply, e eventstream.Event) error {
-	t.beginEvents(reply)
-	t.notePause(time.Now())
+func (t *task) relayEvent(reply *upstream.Reply, e eventstream.Event) error {
+	t.sendHead(reply)
+	t.recordGap(time.Now())
 	if e.HasID {
 		t.lastEvent, t.hasEvent = e.ID, true
 	}
@@ -54,29 +54,29 @@
 	return t.caller.Write(e.Raw)
 }
 
-// notePause keeps the longest time between two events.
-func (t *task) notePause(now time.Time) {
-	if !t.eventAt.IsZero() {
-		t.pause = max(t.pause, now.Sub(t.eventAt))
+// recordGap keeps the longest time between two events.
+func (t *task) recordGap(now time.Time) {
+	if !t.lastEventAt.IsZero() {
+		t.maxGap = max(t.maxGap, now.Sub(t.lastEventAt))
 	}
-	t.eventAt = now
+	t.lastEventAt = now
 }
 
-func (t *task) beginEvents(reply *upstream.Reply) {
-	if t.begun {
+func (t *task) sendHead(reply *upstream.Reply) {
+	if t.headSent {
 		return
 	}
-	t.begun, t.firstAt = true, time.Now()
+	t.headSent, t.firstAt = true, time.Now()
 	const unknown = -1 // events of another server may follow
 	t.caller.Begin(reply.Status, reply.Header, unknown)
 }
 
-func (t *task) endEvents(watch *watchdog, server *fleet.Server, reply *upstream.Reply) outcome {
-	if watch.parent.Err() != nil && !t.late() {
+func (t *task) finishEvents(watch *watchdog, server *fleet.Server, reply *upstream.Reply) outcome {
+	if watch.parent.Err() != nil && !t.pastDeadline() {
 		return callerGone
 	}
-	t.beginEvents(reply)
+	t.sendHead(reply)
 	server.RecordSuccess()
-	t.served(server, reply.Status)
+	t.recordServed(server, reply.Status)
 	return finished
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -55,7 +55,7 @@
 type Metrics interface {
 	Served(first, whole time.Duration)
 	Refused(cause Cause)
-	Retried(why string)
+	Retried(reason string)
 }
 
 // Forwarder serves requests. Its fields are set once.
@@ -87,14 +87,14 @@
 		f.refuse(r, caller, NewRefusal(cause), p, nil)
 		return
 	}
-	done, refused := f.withinLimits(r)
+	done, refused := f.checkLimits(r)
 	if refused != nil {
 		f.refuse(r, caller, *refused, p, nil)
 		return
 	}
 	defer done()
 	f.Retries.RecordRequest(r.Service)
-	if refusal := f.obstacle(r); refusal != nil {
+	if refusal := f.checkServers(r); refusal != nil {
 		f.refuse(r, caller, *refusal, p, nil)
 		return
 	}
@@ -105,7 +105,7 @@
 		return
 	}
 	t := newTask(f, p, r, caller)
-	t.reserved = time.Since(asked)
+	t.reserveTime = time.Since(asked)
 	t.run(ctx)
 	reservation.Settle(t.used())
 }
@@ -131,17 +131,17 @@
 	if p.Limits.BodyBytes > 0 && int64(len(r.Body)) > p.Limits.BodyBytes {
 		return BodyTooLarge
 	}
-	if f.Quarantine.Contains(contentOf(r)) {
+	if f.Quarantine.Contains(hashContent(r)) {
 		return RequestQuarantined
 	}
-	roll := float64(xxhash.Sum64String(r.ID)>>11) / (1 << 53)
-	r.Service = r.Route.Target(roll)
+	fraction := float64(xxhash.Sum64String(r.ID)>>11) / (1 << 53)
+	r.Service = r.Route.Target(fraction)
 	return ""
 }
 
-// obstacle refuses a request that none of its service's servers can take, before it waits for
+// checkServers refuses a request that none of its service's servers can take, before it waits for
 // its tokens; nil if one can.
-func (f *Forwarder) obstacle(r *request.Request) *Refusal {
+func (f *Forwarder) checkServers(r *request.Request) *Refusal {
 	out := f.Chooser.Outlook(f.Servers(r.Service))
 	switch out.Obstacle {
 	case balance.Free:
@@ -162,9 +162,9 @@
 	return nil
 }
 
-// withinLimits holds the request against the limits of its account's contract, if it
+// checkLimits holds the request against the limits of its account's contract, if it
 // has one.
-func (f *Forwarder) withinLimits(r *request.Request) (done func(), refused *Refusal) {
+func (f *Forwarder) checkLimits(r *request.Request) (done func(), refused *Refusal) {
 	if r.Account == nil || r.Account.Contract == nil {
 		return func() {}, nil
 	}
@@ -225,8 +225,8 @@
 	f.Log.Emit(event.RequestRefused, attrs...)
 }
 
-// contentOf hashes what makes a request the same as an earlier one.
-func contentOf(r *request.Request) uint64 {
+// hashContent hashes what makes a request the same as an earlier one.
+func hashContent(r *request.Request) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{r.Method, r.Host, r.Target, r.Key} {
 		_, _ = h.WriteString(part) // a hash takes everything
--- a/internal/node/capacity_test.go
+++ b/internal/node/capacity_test.go
@@ -123,7 +123,7 @@
 	for round := range 50 {
 		var members []fleet.Member
 		for i := range 26 {
-			m := fleet.Member{Name: fmt.Sprintf("vm-%d-%d", round, i), Peer: "p", Domain: "zone-1", Capacity: 0.04}
+			m := fleet.Member{Name: fmt.Sprintf("vm-%d-%d", round, i), PeerAddress: "p", Domain: "zone-1", Capacity: 0.04}
 			if i < 2 {
 				m.Capacity = 0.8
 			}
@@ -142,7 +142,7 @@
 	for round := range 50 {
 		var members []fleet.Member
 		for i := range 40 {
-			members = append(members, fleet.Member{Name: fmt.Sprint("vm-", round*100+i), Peer: "p", Domain: "zone-1", Capacity: 1})
+			members = append(members, fleet.Member{Name: fmt.Sprint("vm-", round*100+i), PeerAddress: "p", Domain: "zone-1", Capacity: 1})
 		}
 		chosen := storeReaders(members, "zone-1")
 		qt.Assert(t, chosen, qt.HasLen, 2)
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -180,6 +180,6 @@
 	if record.Address == "" {
 		return fleet.Member{}, errors.New("router's entry has no address")
 	}
-	return fleet.Member{Name: item.Key[len(MemberPrefix):], Address: record.Address, Peer: record.Peer, Domain: record.Domain,
+	return fleet.Member{Name: item.Key[len(MemberPrefix):], Address: record.Address, PeerAddress: record.Peer, Domain: record.Domain,
 		Capacity: record.Capacity}, nil
 }
--- a/internal/node/homes.go
+++ b/internal/node/homes.go
@@ -58,8 +58,8 @@
 		add(n.self(), "")
 	}
 	for _, m := range members {
-		if m.Name != n.settings.VM && m.Peer != "" {
-			add(m, m.Peer)
+		if m.Name != n.settings.VM && m.PeerAddress != "" {
+			add(m, m.PeerAddress)
 		}
 	}
 	addresses := make([]string, 0, len(top))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -243,7 +243,7 @@
 }
 
 func (n *Node) self() fleet.Member {
-	return fleet.Member{Name: n.settings.VM, Address: n.settings.CallerAddr, Peer: n.settings.PeerAddr, Domain: n.settings.FailureDomain,
+	return fleet.Member{Name: n.settings.VM, Address: n.settings.CallerAddr, PeerAddress: n.settings.PeerAddr, Domain: n.settings.FailureDomain,
 		Capacity: n.settings.Capacity}
 }
 
@@ -252,8 +252,8 @@
 	members := n.members.List()
 	addresses := make([]string, 0, len(members))
 	for _, m := range members {
-		if m.Name != n.settings.VM && m.Peer != "" {
-			addresses = append(addresses, m.Peer)
+		if m.Name != n.settings.VM && m.PeerAddress != "" {
+			addresses = append(addresses, m.PeerAddress)
 		}
 	}
 	return addresses
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -36,7 +36,7 @@
 	var candidates []fleet.Member
 	largest := 0.0
 	for _, m := range members {
-		if m.Domain == domain && m.Peer != "" {
+		if m.Domain == domain && m.PeerAddress != "" {
 			candidates = append(candidates, m)
 			largest = max(largest, m.Capacity)
 		}
@@ -83,7 +83,7 @@
 	sort.Slice(chosen, func(i, j int) bool { return order(chosen[i]) < order(chosen[j]) })
 	addresses := make([]string, 0, len(chosen))
 	for _, m := range chosen {
-		addresses = append(addresses, m.Peer)
+		addresses = append(addresses, m.PeerAddress)
 	}
 	return addresses
 }
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -203,7 +203,7 @@
 	var members []fleet.Member
 	for i := range 80 {
 		domain := fmt.Sprint("zone-", i%2)
-		members = append(members, fleet.Member{Name: fmt.Sprint("vm-", i), Peer: fmt.Sprint(i), Domain: domain, Capacity: 1})
+		members = append(members, fleet.Member{Name: fmt.Sprint("vm-", i), PeerAddress: fmt.Sprint(i), Domain: domain, Capacity: 1})
 	}
 	chosen := storeReaders(members, "zone-1")
 	qt.Assert(t, chosen, qt.HasLen, 2)
--- a/internal/node/warm.go
+++ b/internal/node/warm.go
@@ -87,7 +87,7 @@
 	ownRank := pacing.SenderRank{Total: 1, Valid: true}
 	ownScore := n.self().Rank(key)
 	for _, m := range members {
-		if m.Name == n.settings.VM || m.Peer == "" {
+		if m.Name == n.settings.VM || m.PeerAddress == "" {
 			continue
 		}
 		ownRank.Total++
