--- a/internal/node/capacity_test.go
+++ b/internal/node/capacity_test.go
@@ -14,21 +14,21 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-func TestCapacityIsTheLesserOfProcessorAndLink(t *testing.T) {
+func TestCapacityIsMinimumOfCPUAndLink(t *testing.T) {
 	for lines, want := range map[string]float64{
 		"":                                      0,
 		"cpu_share = 0.4\nlink_mbps = 1000.0\n": 0.4,
 		"cpu_share = 0.192\nlink_mbps = 10.0\n": 0.04,
 		"cpu_share = 0.5\n":                     0.5,
 	} {
-		s, err := ParseSettings([]byte(strings.Replace(whole, "[listen]", lines+"[listen]", 1)))
+		s, err := ParseSettings([]byte(strings.Replace(validSettings, "[listen]", lines+"[listen]", 1)))
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, s.Capacity, qt.Equals, want)
 	}
 }
 
 // Guards against homes on small routers, and accounts of a lost home that scatter.
-func TestHomesFollowTheCapacities(t *testing.T) {
+func TestHomesAreWeightedByCapacity(t *testing.T) {
 	c := qt.New(t)
 	n := New(&Settings{VM: "vm-0", PeerAddr: "peer-0", Capacity: 0.04}, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
 	items := make([]store.Item, 0, 10)
@@ -37,18 +37,18 @@
 		items = append(items, store.Item{Key: fmt.Sprintf("%svm-%d", MemberPrefix, i), Value: []byte(record)})
 	}
 	n.members.Reset(items, store.Silence{})
-	large := 0
+	atLarge := 0
 	standbys := map[string]string{}
 	for i := range 300 {
 		account := fmt.Sprint("account-", i)
-		home, standby := firstTwo(n, account)
+		home, standby := homeAndStandby(n, account)
 		c.Assert(home, qt.Not(qt.Equals), standby)
 		if home == "peer-5" {
-			large++
+			atLarge++
 			standbys[account] = standby
 		}
 	}
-	c.Assert(large > 180 && large < 230, qt.IsTrue, qt.Commentf("%d of 300 where 0.8 of 1.16 is", large))
+	c.Assert(atLarge > 180 && atLarge < 230, qt.IsTrue, qt.Commentf("%d of 300 where 0.8 of 1.16 is", atLarge))
 	n.members = fleet.NewMembers(decodeMember, event.Discard(), nil)
 	n.members.Reset(append(items[:5:5], items[6:]...), store.Silence{})
 	for account, standby := range standbys {
@@ -56,8 +56,8 @@
 	}
 }
 
-// amongAlike is a router that knows so many alike, itself among them, and their entries.
-func amongAlike(routers int) (*Node, []store.Item) {
+// newUniformFleet is a router that knows so many alike, itself among them, and their entries.
+func newUniformFleet(routers int) (*Node, []store.Item) {
 	n := New(&Settings{VM: "vm-0", PeerAddr: "peer-0", Capacity: 0.4}, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
 	var items []store.Item
 	for i := range routers {
@@ -69,19 +69,19 @@
 }
 
 // Guards against requests for tokens to a router that has left the list.
-func TestHoldersFollowTheList(t *testing.T) {
+func TestHoldersFollowMembership(t *testing.T) {
 	c := qt.New(t)
-	n, items := amongAlike(10)
+	n, items := newUniformFleet(10)
 	for i := range 20 {
 		account := fmt.Sprint("account-", i)
-		home, standby := firstTwo(n, account)
+		home, standby := homeAndStandby(n, account)
 		if home == "" {
 			continue
 		}
-		gone := slices.IndexFunc(items, func(item store.Item) bool { return strings.Contains(string(item.Value), `"`+home+`"`) })
-		n.members.Apply([]store.Event{{Item: items[gone], Deleted: true}}, store.Silence{})
+		removed := slices.IndexFunc(items, func(item store.Item) bool { return strings.Contains(string(item.Value), `"`+home+`"`) })
+		n.members.Apply([]store.Event{{Item: items[removed], Deleted: true}}, store.Silence{})
 		c.Assert(n.homeAddress(account), qt.Equals, standby)
-		n.members.Apply([]store.Event{{Item: items[gone]}}, store.Silence{})
+		n.members.Apply([]store.Event{{Item: items[removed]}}, store.Silence{})
 		c.Assert(n.homeAddress(account), qt.Equals, home)
 	}
 	n.stopping.Store(true)
@@ -90,25 +90,25 @@
 	}
 }
 
-// firstTwo are an account's home and the standby that holds when the home can't.
-func firstTwo(n *Node, account string) (home, standby string) {
+// homeAndStandby are an account's home and the standby that holds when the home can't.
+func homeAndStandby(n *Node, account string) (home, standby string) {
 	holders := n.holderAddresses(account)
 	return holders[0], holders[1]
 }
 
 // Guards against ledgers that grow with the accounts, and grants that lie at two routers.
-func TestLargeFleetHasFewHomes(t *testing.T) {
+func TestLargeFleetSharesFewHomes(t *testing.T) {
 	c := qt.New(t)
-	n, items := amongAlike(80)
+	n, items := newUniformFleet(80)
 	standbys := map[string]string{} // by home
 	for i := range 300 {
-		home, standby := firstTwo(n, fmt.Sprint("account-", i))
+		home, standby := homeAndStandby(n, fmt.Sprint("account-", i))
 		standbys[home] = standby
 	}
 	c.Assert(len(standbys) <= minSharedHomes, qt.IsTrue, qt.Commentf("%d homes", len(standbys)))
 	c.Assert(len(standbys) > minSharedHomes/2, qt.IsTrue, qt.Commentf("%d homes", len(standbys)))
 	lost := n.homeAddress("account-1")
-	_, standby := firstTwo(n, "account-1")
+	_, standby := homeAndStandby(n, "account-1")
 	n.members = fleet.NewMembers(decodeMember, event.Discard(), nil)
 	for i, item := range items {
 		if fmt.Sprint("peer-", i) != lost {
@@ -119,7 +119,7 @@
 }
 
 // Guards against small routers whose links are full with what they pass on to followers.
-func TestSmallRoutersReadForNobody(t *testing.T) {
+func TestSmallRoutersAreNotStoreReaders(t *testing.T) {
 	for round := range 50 {
 		var members []fleet.Member
 		for i := range 26 {
@@ -137,7 +137,7 @@
 }
 
 // Where all VMs are equal each may read for others, one of them for 32.
-func TestEqualRoutersAreReadersByRank(t *testing.T) {
+func TestEqualRoutersBecomeStoreReadersByRank(t *testing.T) {
 	used := map[string]bool{}
 	for round := range 50 {
 		var members []fleet.Member
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -26,39 +26,39 @@
 
 // Bounds that the routers are held to, and the moments at which something is changed.
 const (
-	drain       = 2 * time.Second // a leaving server serves for so long
-	applied     = 2 * time.Second // a configuration must be in force after so long
-	shared      = 3 * time.Second // what a router says must be known to all after so long
-	roundTrip   = 5 * time.Millisecond
-	settled     = 3 * time.Second // a router that came back from a cut is held to the bounds from then on
-	phaseStep   = 100 * time.Millisecond
-	phases      = 24
-	beforeFault = 4 * time.Second
+	drain        = 2 * time.Second // a leaving server serves for so long
+	maxConfigAge = 2 * time.Second // a configuration must be in force after so long
+	maxFleetAge  = 3 * time.Second // what a router says must be known to all after so long
+	defaultRTT   = 5 * time.Millisecond
+	recoveryTime = 3 * time.Second // a router that came back from a cut is held to the bounds from then on
+	phaseStep    = 100 * time.Millisecond
+	phaseCount   = 24
+	faultDelay   = 4 * time.Second
 )
 
-// linkedStore is the store behind one router's link, whose faults the test sets. A call
+// faultyStore is the store behind one router's link, whose faults the test sets. A call
 // that gets no answer waits until its caller gives up.
-type linkedStore struct {
+type faultyStore struct {
 	*memstore.Store
 	mu          sync.Mutex
-	cut         bool
-	deafWatches bool          // watches are not answered: their connections fell silent
-	trip        time.Duration // of a call there and back; 0: roundTrip
-	fullLink    bool          // what a read answers is too long to get through in time
-	asked       int
+	partitioned bool
+	watchesHang bool          // watches are not answered: their connections fell silent
+	rtt         time.Duration // of a call there and back; 0: roundTrip
+	readsHang   bool          // what a read answers is too long to get through in time
+	callCount   int
 }
 
-func (s *linkedStore) set(change func()) {
+func (s *faultyStore) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
 // send waits for the round trip, or for ever if there is no path at its start.
-func (s *linkedStore) send(ctx context.Context, watch bool) error {
+func (s *faultyStore) send(ctx context.Context, watch bool) error {
 	s.mu.Lock()
-	trip := max(s.trip, roundTrip)
-	lost := s.cut || watch && s.deafWatches || !watch && s.fullLink
+	trip := max(s.rtt, defaultRTT)
+	lost := s.partitioned || watch && s.watchesHang || !watch && s.readsHang
 	s.mu.Unlock()
 	if lost {
 		<-ctx.Done()
@@ -72,8 +72,8 @@
 	}
 }
 
-func (s *linkedStore) Read(ctx context.Context, prefix string) (store.Snapshot, error) {
-	s.set(func() { s.asked++ })
+func (s *faultyStore) Read(ctx context.Context, prefix string) (store.Snapshot, error) {
+	s.set(func() { s.callCount++ })
 	if err := s.send(ctx, false); err != nil {
 		return store.Snapshot{}, err
 	}
@@ -81,37 +81,37 @@
 	if err != nil {
 		return snapshot, err
 	}
-	return snapshot, s.comeBack(ctx)
+	return snapshot, s.reply(ctx)
 }
 
-func (s *linkedStore) ReadAnew(ctx context.Context, prefix string) (store.Snapshot, error) {
+func (s *faultyStore) ReadAnew(ctx context.Context, prefix string) (store.Snapshot, error) {
 	if err := s.connect(ctx); err != nil {
 		return store.Snapshot{}, err
 	}
 	return s.Read(ctx, prefix)
 }
 
-func (s *linkedStore) WatchAnew(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
+func (s *faultyStore) WatchAnew(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
 	if err := s.connect(ctx); err != nil {
 		return store.Changes{}, err
 	}
-	s.set(func() { s.asked++ })
-	if err := s.comeBack(ctx); err != nil {
+	s.set(func() { s.callCount++ })
+	if err := s.reply(ctx); err != nil {
 		return store.Changes{}, err
 	}
 	changes, err := s.Store.Watch(ctx, prefix, after, wait)
 	if err != nil {
 		return changes, err
 	}
-	return changes, s.comeBack(ctx)
+	return changes, s.reply(ctx)
 }
 
 // connect makes a connection. Its first packet is sent again after one second, and then
 // after twice the time before.
-func (s *linkedStore) connect(ctx context.Context) error {
+func (s *faultyStore) connect(ctx context.Context) error {
 	for again := time.Second; ; again *= 2 {
 		s.mu.Lock()
-		trip, lost := max(s.trip, roundTrip), s.cut
+		trip, lost := max(s.rtt, defaultRTT), s.partitioned
 		s.mu.Unlock()
 		wait := trip
 		if lost {
@@ -129,10 +129,10 @@
 	}
 }
 
-// comeBack is the way of an answer.
-func (s *linkedStore) comeBack(ctx context.Context) error {
+// reply is the way of an answer.
+func (s *faultyStore) reply(ctx context.Context) error {
 	s.mu.Lock()
-	trip := max(s.trip, roundTrip)
+	trip := max(s.rtt, defaultRTT)
 	s.mu.Unlock()
 	select {
 	case <-ctx.Done():
@@ -142,8 +142,8 @@
 	}
 }
 
-func (s *linkedStore) Watch(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
-	s.set(func() { s.asked++ })
+func (s *faultyStore) Watch(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
+	s.set(func() { s.callCount++ })
 	if err := s.send(ctx, true); err != nil {
 		return store.Changes{}, err
 	}
@@ -151,42 +151,42 @@
 	if err != nil {
 		return changes, err
 	}
-	return changes, s.comeBack(ctx)
+	return changes, s.reply(ctx)
 }
 
-// noOthers is the relay of a router that follows the store itself.
-type noOthers struct{ store.Relay }
+// unusedRelay is the relay of a router that follows the store itself.
+type unusedRelay struct{ store.Relay }
 
-func (noOthers) Used() bool { return false }
+func (unusedRelay) Used() bool { return false }
 
-// silentOthers is the relay of a router that is cut off from the one it follows.
-type silentOthers struct{}
+// silentRelay is the relay of a router that is cut off from the one it follows.
+type silentRelay struct{}
 
-func (silentOthers) Used() bool { return true }
+func (silentRelay) Used() bool { return true }
 
-func (silentOthers) Read(ctx context.Context, _ string, _ store.Revision) (store.Snapshot, error) {
-	return store.Snapshot{}, silence(ctx)
+func (silentRelay) Read(ctx context.Context, _ string, _ store.Revision) (store.Snapshot, error) {
+	return store.Snapshot{}, awaitCallTimeout(ctx)
 }
 
-func (silentOthers) Watch(ctx context.Context, _ string, _ store.Revision) (store.Changes, error) {
-	return store.Changes{}, silence(ctx)
+func (silentRelay) Watch(ctx context.Context, _ string, _ store.Revision) (store.Changes, error) {
+	return store.Changes{}, awaitCallTimeout(ctx)
 }
 
-// ignorantOthers is the relay of a router whose reader follows nothing itself.
-type ignorantOthers struct{}
+// relayWithoutFeed is the relay of a router whose reader follows nothing itself.
+type relayWithoutFeed struct{}
 
-func (ignorantOthers) Used() bool { return true }
+func (relayWithoutFeed) Used() bool { return true }
 
-func (ignorantOthers) Read(context.Context, string, store.Revision) (store.Snapshot, error) {
+func (relayWithoutFeed) Read(context.Context, string, store.Revision) (store.Snapshot, error) {
 	return store.Snapshot{}, store.ErrNoFeed
 }
 
-func (ignorantOthers) Watch(context.Context, string, store.Revision) (store.Changes, error) {
+func (relayWithoutFeed) Watch(context.Context, string, store.Revision) (store.Changes, error) {
 	return store.Changes{}, store.ErrNoFeed
 }
 
-// silence is a call to another router that runs out of time.
-func silence(ctx context.Context) error {
+// awaitCallTimeout is a call to another router that runs out of time.
+func awaitCallTimeout(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 	case <-time.After(relayWatchWait + 250*time.Millisecond):
@@ -194,51 +194,51 @@
 	return store.ErrNoFeed
 }
 
-// lines keeps a log.
-type lines struct {
+// logBuffer keeps a log.
+type logBuffer struct {
 	mu  sync.Mutex
-	all bytes.Buffer
+	buf bytes.Buffer
 }
 
-func (l *lines) Write(line []byte) (int, error) {
+func (l *logBuffer) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.all.Write(line)
+	return l.buf.Write(line)
 }
 
-func (l *lines) text() string {
+func (l *logBuffer) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.all.String()
+	return l.buf.String()
 }
 
-// followedWorld is one router that follows a store with two servers and a configuration.
-type followedWorld struct {
+// followerTest is one router that follows a store with two servers and a configuration.
+type followerTest struct {
 	*qt.C
-	store *linkedStore
+	store *faultyStore
 	node  *Node
-	lines *lines
+	logs  *logBuffer
 }
 
-// withFollower runs a test beside a router's followers.
-func withFollower(t *testing.T, others store.Relay, test func(w *followedWorld)) {
+// runFollowerTest runs a test beside a router's followers.
+func runFollowerTest(t *testing.T, relay store.Relay, test func(w *followerTest)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &followedWorld{C: qt.New(t), store: &linkedStore{Store: memstore.New(nil)}, lines: &lines{}}
+		w := &followerTest{C: qt.New(t), store: &faultyStore{Store: memstore.New(nil)}, logs: &logBuffer{}}
 		w.store.Put("config/x", []byte("1"))
 		w.putServer("a", false)
 		w.putServer("b", false)
 		w.node = New(&Settings{VM: "vm-1", FailureDomain: "zone-1", DrainTime: drain}, Environment{
 			Store: w.store, Clock: func() escrow.ClockReading { return escrow.ClockReading{} },
-			ConfigPrefix: "config/", IsConfig: func(item store.Item) bool { return item.Key == "config/x" }, DecodeConfig: testConfig,
+			ConfigPrefix: "config/", IsConfig: func(item store.Item) bool { return item.Key == "config/x" }, DecodeConfig: decodeTestConfig,
 			EvacuatedDomain: func(key string) (string, bool) { return strings.CutPrefix(key, "config/evacuate/") },
 			ServersPrefix:   "servers/", DecodeServer: decodeTestServer,
-		}, event.New(w.lines, "p1", slog.LevelInfo, nil), "p1")
+		}, event.New(w.logs, "p1", slog.LevelInfo, nil), "p1")
 		ctx, cancel := context.WithCancel(t.Context())
 		var tasks conc.WaitGroup
-		for _, f := range w.node.followers(others) {
+		for _, f := range w.node.followers(relay) {
 			tasks.Go(func() { f.Run(ctx) })
 		}
-		time.Sleep(beforeFault)
+		time.Sleep(faultDelay)
 		test(w)
 		cancel()
 		tasks.Wait()
@@ -250,14 +250,14 @@
 	return e, json.Unmarshal(item.Value, &e)
 }
 
-func (w *followedWorld) putServer(id string, draining bool) {
+func (w *followerTest) putServer(id string, draining bool) {
 	value, err := json.Marshal(fleet.Entry{ID: id, Service: "engines", Address: "10.0.0.1:80", Domain: "zone-" + id, Draining: draining})
 	w.Assert(err, qt.IsNil)
 	w.store.Put("servers/"+id, value)
 }
 
-// used says whether a server may get requests.
-func (w *followedWorld) used(id string) bool {
+// inUse says whether a server may get requests.
+func (w *followerTest) inUse(id string) bool {
 	for _, s := range w.node.registry.View().ByService["engines"] {
 		if s.ID == id {
 			return !s.Ineligible()
@@ -268,50 +268,50 @@
 
 // forEachPhase plays a test with a moment that falls on each part of the followers' cycles.
 func forEachPhase(t *testing.T, test func(t *testing.T, phase time.Duration)) {
-	for i := range phases {
+	for i := range phaseCount {
 		phase := time.Duration(i) * phaseStep
 		t.Run(fmt.Sprint(phase), func(t *testing.T) { test(t, phase) })
 	}
 }
 
 // Guards against requests to a server that leaves right after the end of a router's cut from the store.
-func TestServerThatLeavesAfterACutIsOutInTime(t *testing.T) {
+func TestServerLeavingAfterPartitionIsRemovedInTime(t *testing.T) {
 	const leavesAfter = 900 * time.Millisecond
 	forEachPhase(t, func(t *testing.T, phase time.Duration) {
-		withFollower(t, noOthers{}, func(w *followedWorld) {
-			w.store.set(func() { w.store.cut = true })
+		runFollowerTest(t, unusedRelay{}, func(w *followerTest) {
+			w.store.set(func() { w.store.partitioned = true })
 			time.Sleep(8*time.Second + phase)
-			w.store.set(func() { w.store.cut = false })
+			w.store.set(func() { w.store.partitioned = false })
 			time.Sleep(leavesAfter)
 			w.store.Remove("servers/a")
-			time.Sleep(max(drain, settled-leavesAfter))
-			w.Assert(w.used("a"), qt.IsFalse)
-			w.Assert(w.used("b"), qt.IsTrue)
+			time.Sleep(max(drain, recoveryTime-leavesAfter))
+			w.Assert(w.inUse("a"), qt.IsFalse)
+			w.Assert(w.inUse("b"), qt.IsTrue)
 		})
 	})
 }
 
 // Guards against requests to a server that left during a cut: silence of old connections proves no outage.
-func TestServerThatLeftDuringACutIsOutInTime(t *testing.T) {
+func TestServerThatLeftDuringPartitionIsRemovedInTime(t *testing.T) {
 	const (
 		leavesAfter    = 2 * time.Second
 		retransmission = 1500 * time.Millisecond
 	)
-	for name, others := range map[string]store.Relay{"reader": noOthers{}, "follower": silentOthers{}} {
-		for link, trip := range map[string]time.Duration{"short": roundTrip, "long": 400 * time.Millisecond} {
+	for name, others := range map[string]store.Relay{"reader": unusedRelay{}, "follower": silentRelay{}} {
+		for link, trip := range map[string]time.Duration{"short": defaultRTT, "long": 400 * time.Millisecond} {
 			t.Run(name+"/"+link, func(t *testing.T) {
 				forEachPhase(t, func(t *testing.T, phase time.Duration) {
-					withFollower(t, others, func(w *followedWorld) {
-						w.store.set(func() { w.store.cut, w.store.deafWatches, w.store.trip = true, true, trip })
+					runFollowerTest(t, others, func(w *followerTest) {
+						w.store.set(func() { w.store.partitioned, w.store.watchesHang, w.store.rtt = true, true, trip })
 						time.Sleep(leavesAfter)
 						w.store.Remove("servers/a")
 						time.Sleep(9*time.Second + phase)
-						w.store.set(func() { w.store.cut = false })
+						w.store.set(func() { w.store.partitioned = false })
 						time.Sleep(retransmission)
-						w.store.set(func() { w.store.deafWatches = false })
-						time.Sleep(settled - retransmission)
-						w.Assert(w.used("a"), qt.IsFalse)
-						w.Assert(w.used("b"), qt.IsTrue)
+						w.store.set(func() { w.store.watchesHang = false })
+						time.Sleep(recoveryTime - retransmission)
+						w.Assert(w.inUse("a"), qt.IsFalse)
+						w.Assert(w.inUse("b"), qt.IsTrue)
 					})
 				})
 			})
@@ -320,7 +320,7 @@
 }
 
 // Guards against one follower that takes each turn at a store which was away while others know nothing.
-func TestAllIsKnownSoonAfterACutOverALongLink(t *testing.T) {
+func TestAllPrefixesAreUpToDateSoonAfterPartitionOfSlowLink(t *testing.T) {
 	const (
 		trip     = 400 * time.Millisecond
 		spacing  = 800 * time.Millisecond // of calls to a store that is away, at a follower
@@ -329,15 +329,15 @@
 		allKnown = spacing + 2*(whole+poll)
 	)
 	forEachPhase(t, func(t *testing.T, phase time.Duration) {
-		withFollower(t, silentOthers{}, func(w *followedWorld) {
-			w.store.set(func() { w.store.cut, w.store.trip = true, trip })
+		runFollowerTest(t, silentRelay{}, func(w *followerTest) {
+			w.store.set(func() { w.store.partitioned, w.store.rtt = true, trip })
 			w.putServer("a", true)
 			w.store.Put("config/x", []byte("2"))
 			w.store.Put(MemberPrefix+"vm-2", []byte(`{"address":"127.0.0.1:1"}`))
 			time.Sleep(9*time.Second + phase)
-			w.store.set(func() { w.store.cut = false })
+			w.store.set(func() { w.store.partitioned = false })
 			time.Sleep(allKnown)
-			w.Check(w.used("a"), qt.IsFalse)
+			w.Check(w.inUse("a"), qt.IsFalse)
 			w.Check(w.node.policy.Load().Version, qt.Equals, int64(2))
 			w.Check(w.node.members.List(), qt.HasLen, 1)
 		})
@@ -345,28 +345,28 @@
 }
 
 // Guards against empty services after an outage: servers whose entries lapsed in it are used until they are back.
-func TestServersThatLapsedInAnOutageStayInUse(t *testing.T) {
-	outages := map[string]func(s *linkedStore, away bool){
-		"cut":     func(s *linkedStore, away bool) { s.set(func() { s.cut = away }) },
-		"refuses": func(s *linkedStore, away bool) { s.SetDown(away) },
+func TestServersWithEntriesExpiredInOutageStayInUse(t *testing.T) {
+	outages := map[string]func(s *faultyStore, away bool){
+		"cut":     func(s *faultyStore, away bool) { s.set(func() { s.partitioned = away }) },
+		"refuses": func(s *faultyStore, away bool) { s.SetDown(away) },
 	}
 	const back = 1900 * time.Millisecond
 	for outage, set := range outages {
-		for name, others := range map[string]store.Relay{"reader": noOthers{}, "follower": silentOthers{}} {
+		for name, others := range map[string]store.Relay{"reader": unusedRelay{}, "follower": silentRelay{}} {
 			t.Run(outage+"/"+name, func(t *testing.T) {
 				forEachPhase(t, func(t *testing.T, phase time.Duration) {
-					withFollower(t, others, func(w *followedWorld) {
+					runFollowerTest(t, others, func(w *followerTest) {
 						set(w.store, true)
 						time.Sleep(8*time.Second + phase)
 						w.store.Remove("servers/a")
 						set(w.store, false)
 						for range back / phaseStep {
 							time.Sleep(phaseStep)
-							w.Assert(w.used("a"), qt.IsTrue)
+							w.Assert(w.inUse("a"), qt.IsTrue)
 						}
 						w.putServer("a", false)
-						time.Sleep(settled)
-						w.Assert(w.used("a"), qt.IsTrue)
+						time.Sleep(recoveryTime)
+						w.Assert(w.inUse("a"), qt.IsTrue)
 					})
 				})
 			})
@@ -375,22 +375,22 @@
 }
 
 // Guards against changes that are known late because calls run out of time one after the other.
-func TestChangesAreKnownInTimeWhateverOtherCallsTake(t *testing.T) {
-	for name, others := range map[string]store.Relay{"reader": noOthers{}, "follower": silentOthers{}} {
+func TestChangesAreSeenInTimeDespiteHangingCalls(t *testing.T) {
+	for name, others := range map[string]store.Relay{"reader": unusedRelay{}, "follower": silentRelay{}} {
 		t.Run(name, func(t *testing.T) {
 			forEachPhase(t, func(t *testing.T, phase time.Duration) {
-				withFollower(t, others, func(w *followedWorld) {
-					w.store.set(func() { w.store.deafWatches = true })
+				runFollowerTest(t, others, func(w *followerTest) {
+					w.store.set(func() { w.store.watchesHang = true })
 					time.Sleep(phase)
 					w.putServer("a", true)
 					w.store.Put("config/x", []byte("2"))
 					w.store.Put("config/evacuate/zone-b", []byte("{}"))
 					w.store.Put(MemberPrefix+"vm-2", []byte(`{"address":"127.0.0.1:1"}`))
-					time.Sleep(min(drain, applied) - roundTrip)
-					w.Assert(w.used("a"), qt.IsFalse)
-					w.Assert(w.used("b"), qt.IsFalse, qt.Commentf("its domain is evacuated"))
+					time.Sleep(min(drain, maxConfigAge) - defaultRTT)
+					w.Assert(w.inUse("a"), qt.IsFalse)
+					w.Assert(w.inUse("b"), qt.IsFalse, qt.Commentf("its domain is evacuated"))
 					w.Assert(w.node.policy.Load().Version, qt.Equals, int64(2))
-					time.Sleep(shared - min(drain, applied))
+					time.Sleep(maxFleetAge - min(drain, maxConfigAge))
 					w.Assert(w.node.members.List(), qt.HasLen, 1)
 				})
 			})
@@ -399,46 +399,46 @@
 }
 
 // Guards against checks over a full link that end the calls beside them, or take the store for away.
-func TestChangesAreKnownOverASlowLink(t *testing.T) {
+func TestChangesAreSeenOverSlowLink(t *testing.T) {
 	forEachPhase(t, func(t *testing.T, phase time.Duration) {
-		withFollower(t, noOthers{}, func(w *followedWorld) {
-			w.store.set(func() { w.store.trip = 900 * time.Millisecond })
+		runFollowerTest(t, unusedRelay{}, func(w *followerTest) {
+			w.store.set(func() { w.store.rtt = 900 * time.Millisecond })
 			time.Sleep(5*time.Second + phase)
 			w.putServer("a", true)
 			w.store.Put("config/x", []byte("2"))
-			time.Sleep(min(drain, applied))
-			w.Assert(w.used("a"), qt.IsFalse)
+			time.Sleep(min(drain, maxConfigAge))
+			w.Assert(w.inUse("a"), qt.IsFalse)
 			w.Assert(w.node.policy.Load().Version, qt.Equals, int64(2))
 			time.Sleep(10 * time.Second)
 			unreachable := fmt.Sprintf(`"event":%d,`, event.StoreUnreachable)
-			w.Assert(w.lines.text(), qt.Not(qt.Contains), unreachable)
+			w.Assert(w.logs.text(), qt.Not(qt.Contains), unreachable)
 		})
 	})
 }
 
 // Guards against a router that stays with old knowledge while its link is too full for whole reads.
-func TestChangesAreKnownWhereOnlyShortAnswersGetThrough(t *testing.T) {
-	withFollower(t, noOthers{}, func(w *followedWorld) {
+func TestChangesAreSeenWhenOnlyShortResponsesArrive(t *testing.T) {
+	runFollowerTest(t, unusedRelay{}, func(w *followerTest) {
 		w.store.SetDown(true)
 		time.Sleep(8 * time.Second)
-		w.store.set(func() { w.store.fullLink = true })
+		w.store.set(func() { w.store.readsHang = true })
 		w.store.SetDown(false)
 		w.putServer("a", true)
-		time.Sleep(settled)
-		w.Assert(w.used("a"), qt.IsFalse)
+		time.Sleep(recoveryTime)
+		w.Assert(w.inUse("a"), qt.IsFalse)
 	})
 }
 
 // calls is how many reads and watches the router has made.
-func (s *linkedStore) calls() int {
+func (s *faultyStore) calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked
+	return s.callCount
 }
 
 // Guards against calls to the store in health beyond one confirmation of each prefix in its time.
-func TestFollowingCostsLittleInHealth(t *testing.T) {
-	withFollower(t, noOthers{}, func(w *followedWorld) {
+func TestFollowersMakeFewCallsInNormalOperation(t *testing.T) {
+	runFollowerTest(t, unusedRelay{}, func(w *followerTest) {
 		before := w.store.calls()
 		time.Sleep(60 * time.Second)
 		calls := w.store.calls() - before
@@ -448,8 +448,8 @@
 }
 
 // Guards against paid calls to a store that refuses: one thing at a time is asked for.
-func TestFollowingCostsLittleInAnOutage(t *testing.T) {
-	withFollower(t, noOthers{}, func(w *followedWorld) {
+func TestFollowersMakeFewCallsInOutage(t *testing.T) {
+	runFollowerTest(t, unusedRelay{}, func(w *followerTest) {
 		w.store.SetDown(true)
 		before := w.store.calls()
 		time.Sleep(60 * time.Second)
@@ -460,10 +460,10 @@
 }
 
 // Guards against a call for each change of entries that change all the time.
-func TestEntriesThatChangeAllTheTimeCostLittle(t *testing.T) {
-	for name, others := range map[string]store.Relay{"reader": noOthers{}, "follower": ignorantOthers{}} {
+func TestFrequentChangesCauseFewCalls(t *testing.T) {
+	for name, others := range map[string]store.Relay{"reader": unusedRelay{}, "follower": relayWithoutFeed{}} {
 		t.Run(name, func(t *testing.T) {
-			withFollower(t, others, func(w *followedWorld) {
+			runFollowerTest(t, others, func(w *followerTest) {
 				before := w.store.calls()
 				for i := range 600 {
 					w.putServer(fmt.Sprint("c", i), false)
@@ -472,7 +472,7 @@
 				calls := w.store.calls() - before
 				const most = 2*(60*10/12+1) + 60*10/23 + 2 + 2*serversBurst
 				w.Assert(calls <= most, qt.IsTrue, qt.Commentf("%d calls", calls))
-				w.Assert(w.used("c590"), qt.IsTrue)
+				w.Assert(w.inUse("c590"), qt.IsTrue)
 			})
 		})
 	}
--- a/internal/node/homes_bench_test.go
+++ b/internal/node/homes_bench_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// BenchmarkHolders is what it costs to name an account's holders in a large fleet; a request
+// BenchmarkHolderAddresses is what it costs to name an account's holders in a large fleet; a request
 // asks for them some times.
-func BenchmarkHolders(b *testing.B) {
-	n, _ := amongAlike(195)
+func BenchmarkHolderAddresses(b *testing.B) {
+	n, _ := newUniformFleet(195)
 	b.Run("home", func(b *testing.B) {
 		for b.Loop() {
 			n.homeAddress("account")
--- a/internal/node/limits_bench_test.go
+++ b/internal/node/limits_bench_test.go
@@ -17,10 +17,10 @@
 	const routers, servers = 195, 3000
 	for _, limited := range []int{0, 30, 900} {
 		b.Run(fmt.Sprint(limited, " limited"), func(b *testing.B) {
-			w := newWarmers(b, routers)
-			w.learn(w.nodes, w.nodes)
+			w := newRankedFleet(b, routers)
+			w.setMembers(w.nodes, w.nodes)
 			w.now = w.now.Add(minListedTime)
-			w.learn(w.nodes, w.nodes)
+			w.setMembers(w.nodes, w.nodes)
 			n := w.nodes[0]
 			list := make([]*fleet.Server, servers)
 			for i := range list {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against whole budgets drawn by each of the routers that start together.
-func TestNothingIsDrawnBeforeTheFleetIsKnown(t *testing.T) {
+func TestNoBudgetsBeforeMembershipIsKnown(t *testing.T) {
 	s := &Settings{VM: "vm-1", FailureDomain: "zone-1", CallerAddr: "127.0.0.1:1", PeerAddr: "127.0.0.1:2"}
 	n := New(s, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
 	n.policy.Store(policy.New(policy.Definition{Accounts: []policy.Account{{Name: "boatyard", Prepaid: 1000, Metered: true}}}))
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -20,50 +20,50 @@
 	"chicorytiller.example/chicorytiller/internal/store/memstore"
 )
 
-// countedStore counts the reads and watches of one router.
-type countedStore struct {
+// countingStore counts the reads and watches of one router.
+type countingStore struct {
 	*memstore.Store
 	mu    sync.Mutex
 	calls int
 	down  bool // for this router only
 }
 
-func (s *countedStore) note() bool {
+func (s *countingStore) record() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 	return s.down
 }
 
-func (s *countedStore) cut() {
+func (s *countingStore) disconnect() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = true
 }
 
-func (s *countedStore) asked() int {
+func (s *countingStore) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-func (s *countedStore) Read(ctx context.Context, prefix string) (store.Snapshot, error) {
-	if s.note() {
+func (s *countingStore) Read(ctx context.Context, prefix string) (store.Snapshot, error) {
+	if s.record() {
 		return store.Snapshot{}, store.ErrUnavailable
 	}
 	return s.Store.Read(ctx, prefix)
 }
 
-func (s *countedStore) ReadAnew(ctx context.Context, prefix string) (store.Snapshot, error) {
+func (s *countingStore) ReadAnew(ctx context.Context, prefix string) (store.Snapshot, error) {
 	return s.Read(ctx, prefix)
 }
 
-func (s *countedStore) WatchAnew(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
+func (s *countingStore) WatchAnew(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
 	return s.Watch(ctx, prefix, after, wait)
 }
 
-func (s *countedStore) Watch(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
-	if s.note() {
+func (s *countingStore) Watch(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
+	if s.record() {
 		return store.Changes{}, store.ErrUnavailable
 	}
 	return s.Store.Watch(ctx, prefix, after, wait)
@@ -72,28 +72,28 @@
 // relayFleet is routers of one failure domain that only follow the store and each other.
 type relayFleet struct {
 	*qt.C
-	store  *memstore.Store
-	stores map[string]*countedStore
-	nodes  map[string]*Node
-	reader string // the VM that follows the store for the others
+	store       *memstore.Store
+	stores      map[string]*countingStore
+	nodes       map[string]*Node
+	storeReader string // the VM that follows the store for the others
 }
 
-// testConfig decodes a configuration that is nothing but its version.
-func testConfig(item store.Item) (*policy.Policy, error) {
+// decodeTestConfig decodes a configuration that is nothing but its version.
+func decodeTestConfig(item store.Item) (*policy.Policy, error) {
 	version := int64(0)
 	err := json.Unmarshal(item.Value, &version)
 	return policy.New(policy.Definition{Version: version}), err
 }
 
 func newRelayFleet(t *testing.T, routers int) *relayFleet {
-	f := &relayFleet{C: qt.New(t), store: memstore.New(nil), stores: map[string]*countedStore{}, nodes: map[string]*Node{}}
+	f := &relayFleet{C: qt.New(t), store: memstore.New(nil), stores: map[string]*countingStore{}, nodes: map[string]*Node{}}
 	f.store.Put("config/x", []byte("1"))
 	for i := range routers {
 		vm := fmt.Sprintf("vm-%d", i)
-		s := &countedStore{Store: f.store}
+		s := &countingStore{Store: f.store}
 		settings := &Settings{VM: vm, FailureDomain: "zone-1", PeerAddr: "127.0.0.1:0", DrainTime: 500 * time.Millisecond}
 		n := New(settings, Environment{Store: s, Clock: func() escrow.ClockReading { return escrow.ClockReading{} },
-			ConfigPrefix: "config/", IsConfig: func(item store.Item) bool { return item.Key == "config/x" }, DecodeConfig: testConfig,
+			ConfigPrefix: "config/", IsConfig: func(item store.Item) bool { return item.Key == "config/x" }, DecodeConfig: decodeTestConfig,
 			EvacuatedDomain: func(key string) (string, bool) { return strings.CutPrefix(key, "config/evacuate/") },
 			ServersPrefix:   "servers/", DecodeServer: func(store.Item) (fleet.Entry, error) { return fleet.Entry{}, nil },
 		}, event.Discard(), vm)
@@ -108,13 +108,13 @@
 	for vm, n := range f.nodes {
 		f.run(n)
 		f.Cleanup(func() { _ = n.peerListener.Close() }) // the test is over
-		f.await(func() bool { return len(n.members.List()) == routers && n.policy.Load() != nil })
+		f.waitFor(func() bool { return len(n.members.List()) == routers && n.policy.Load() != nil })
 		if !(&relay{node: n}).Used() {
-			f.Assert(f.reader, qt.Equals, "", qt.Commentf("one reads for this few"))
-			f.reader = vm
+			f.Assert(f.storeReader, qt.Equals, "", qt.Commentf("one reads for this few"))
+			f.storeReader = vm
 		}
 	}
-	f.Assert(f.reader, qt.Not(qt.Equals), "")
+	f.Assert(f.storeReader, qt.Not(qt.Equals), "")
 	return f
 }
 
@@ -131,8 +131,8 @@
 	})
 }
 
-// await polls until something holds. The test's own timeout bounds it.
-func (f *relayFleet) await(holds func() bool) {
+// waitFor polls until something holds. The test's own timeout bounds it.
+func (f *relayFleet) waitFor(holds func() bool) {
 	for !holds() {
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -142,64 +142,64 @@
 	return f.nodes[vm].policy.Load().Version
 }
 
-// awaitVersion waits until all routers but some serve by a version.
-func (f *relayFleet) awaitVersion(version int64, without string) {
+// waitForVersion waits until all routers but some serve by a version.
+func (f *relayFleet) waitForVersion(version int64, except string) {
 	for vm := range f.nodes {
-		f.await(func() bool { return vm == without || f.version(vm) == version })
+		f.waitFor(func() bool { return vm == except || f.version(vm) == version })
 	}
 }
 
 // Guards against calls to the store by each router of a failure domain.
-func TestOneRouterReadsForTheOthers(t *testing.T) {
+func TestOnlyStoreReaderCallsStore(t *testing.T) {
 	f := newRelayFleet(t, 4)
 	// Each learned everything from the store at its start, and may be in the last watch of
 	// that time, so the first changes may still cost calls.
 	version := int64(1)
-	f.await(func() bool {
-		before := f.askedByOthers()
+	f.waitFor(func() bool {
+		before := f.callsByOthers()
 		for range 4 {
 			version++
 			f.store.Put("config/x", fmt.Append(nil, version))
-			f.awaitVersion(version, "")
+			f.waitForVersion(version, "")
 		}
-		return f.askedByOthers() == before
+		return f.callsByOthers() == before
 	})
 }
 
-// askedByOthers is the calls of all routers but the reader.
-func (f *relayFleet) askedByOthers() int {
+// callsByOthers is the calls of all routers but the reader.
+func (f *relayFleet) callsByOthers() int {
 	sum := 0
 	for vm, s := range f.stores {
-		if vm != f.reader {
-			sum += s.asked()
+		if vm != f.storeReader {
+			sum += s.callCount()
 		}
 	}
 	return sum
 }
 
 // Guards against old knowledge at routers whose reader lost the store.
-func TestRoutersTurnToTheStoreWhenTheirReaderLostIt(t *testing.T) {
+func TestRoutersFallBackToStoreWhenStoreReaderLosesIt(t *testing.T) {
 	f := newRelayFleet(t, 3)
-	f.stores[f.reader].cut()
+	f.stores[f.storeReader].disconnect()
 	f.store.Put("config/x", []byte("2"))
-	f.awaitVersion(2, f.reader)
+	f.waitForVersion(2, f.storeReader)
 }
 
 // The router that reads for the others is gone, and its connections with it.
-func TestRoutersTurnToTheStoreWhenTheirReaderIsGone(t *testing.T) {
+func TestRoutersFallBackToStoreWhenStoreReaderIsGone(t *testing.T) {
 	f := newRelayFleet(t, 3)
-	f.Assert(f.nodes[f.reader].peerListener.Close(), qt.IsNil)
+	f.Assert(f.nodes[f.storeReader].peerListener.Close(), qt.IsNil)
 	for vm, n := range f.nodes {
-		if vm != f.reader {
-			n.peers.Forget(f.nodes[f.reader].settings.PeerAddr)
+		if vm != f.storeReader {
+			n.peers.Forget(f.nodes[f.storeReader].settings.PeerAddr)
 		}
 	}
 	f.store.Put("config/x", []byte("2"))
-	f.awaitVersion(2, f.reader)
+	f.waitForVersion(2, f.storeReader)
 }
 
 // Guards against routers that disagree on who reads the store for the others.
-func TestReadersFollowFromTheList(t *testing.T) {
+func TestStoreReadersDependOnlyOnMembership(t *testing.T) {
 	var members []fleet.Member
 	for i := range 80 {
 		domain := fmt.Sprint("zone-", i%2)
@@ -221,19 +221,19 @@
 }
 
 // Guards against requests to an evacuated domain by a router that starts in an outage.
-func TestStartingRouterLearnsOfEvacuations(t *testing.T) {
+func TestBootstrapIncludesEvacuations(t *testing.T) {
 	c := qt.New(t)
 	dialect := Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} },
-		IsConfig: func(item store.Item) bool { return item.Key == "config/x" }, DecodeConfig: testConfig,
+		IsConfig: func(item store.Item) bool { return item.Key == "config/x" }, DecodeConfig: decodeTestConfig,
 		EvacuatedDomain: func(key string) (string, bool) { return strings.CutPrefix(key, "config/evacuate/") },
 		DecodeServer:    decodeTestServer}
-	knows, starts := New(&Settings{VM: "vm-1"}, dialect, event.Discard(), "p1"), New(&Settings{VM: "vm-2"}, dialect, event.Discard(), "p2")
-	(&configSink{node: knows}).Reset([]store.Item{
+	source, starting := New(&Settings{VM: "vm-1"}, dialect, event.Discard(), "p1"), New(&Settings{VM: "vm-2"}, dialect, event.Discard(), "p2")
+	(&configSink{node: source}).Reset([]store.Item{
 		{Key: "config/x", Value: []byte("1"), Revision: 1}, {Key: "config/evacuate/zone-a", Value: []byte("{}"), Revision: 2},
 	}, store.Silence{})
-	(&configSink{node: starts}).Reset(knows.Known().Config, store.Silence{})
+	(&configSink{node: starting}).Reset(source.Known().Config, store.Silence{})
 	server := store.Item{Key: "servers/a", Revision: 3, Value: []byte(`{"ID":"a","Service":"engines","Address":"10.0.0.1:80","Domain":"zone-a"}`)}
-	starts.registry.Seed([]store.Item{server})
-	c.Assert(starts.policy.Load().Version, qt.Equals, int64(1))
-	c.Assert(starts.registry.View().ByService["engines"][0].Ineligible(), qt.IsTrue)
+	starting.registry.Seed([]store.Item{server})
+	c.Assert(starting.policy.Load().Version, qt.Equals, int64(1))
+	c.Assert(starting.registry.View().ByService["engines"][0].Ineligible(), qt.IsTrue)
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-const whole = `[router]
+const validSettings = `[router]
 vm = vm-1
 failure_domain = zone-1
 grace_s = 8
@@ -29,8 +29,8 @@
 window_s = 10
 `
 
-func TestSettingsAreRead(t *testing.T) {
-	s, err := ParseSettings([]byte(whole))
+func TestParseSettings(t *testing.T) {
+	s, err := ParseSettings([]byte(validSettings))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, s.GracePeriod, qt.Equals, 8*time.Second)
 	qt.Assert(t, s.DrainTime, qt.Equals, 2*time.Second)
@@ -39,20 +39,20 @@
 }
 
 // A wrong setting is told with its section and key.
-func TestWrongSettingIsNamed(t *testing.T) {
+func TestParseSettingsErrorNamesKey(t *testing.T) {
 	for _, test := range []struct{ from, to, want string }{
 		{"vm = vm-1", "", `[router] vm: missing`},
 		{"ready = 10.1.0.40:8220", "ready = here", `[listen] ready: not IP:port: here`},
 		{"grace_s = 8", "grace_s = -1", `[router] grace_s: not a number of zero or more: -1`},
 		{"10.2.0.29:8229", "x", `[router] seeds: not IP:port: x`},
 	} {
-		_, err := ParseSettings([]byte(strings.Replace(whole, test.from, test.to, 1)))
+		_, err := ParseSettings([]byte(strings.Replace(validSettings, test.from, test.to, 1)))
 		qt.Assert(t, err, qt.ErrorMatches, `.*`+strings.NewReplacer("[", `\[`, "]", `\]`).Replace(test.want)+`.*`)
 	}
 }
 
 func FuzzSettings(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(validSettings))
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		_, _ = ParseSettings(data) // must not panic, whatever comes
 	})
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -16,31 +16,31 @@
 	"chicorytiller.example/chicorytiller/internal/request"
 )
 
-// refused notes a refusal; any other answer fails the test.
-type refused struct {
+// refusalRecorder notes a refusal; any other answer fails the test.
+type refusalRecorder struct {
 	*qt.C
 	cause forward.Cause
 }
 
-func (r *refused) Refuse(refusal forward.Refusal)        { r.cause = refusal.Cause }
-func (r *refused) Answer(int, http.Header, []byte) error { r.Fatal("answered"); return nil }
-func (r *refused) Begin(int, http.Header, int64)         { r.Fatal("begun") }
-func (r *refused) Write([]byte) error                    { r.Fatal("written"); return nil }
-func (r *refused) Abort()                                { r.Fatal("aborted") }
+func (r *refusalRecorder) Refuse(refusal forward.Refusal)        { r.cause = refusal.Cause }
+func (r *refusalRecorder) Answer(int, http.Header, []byte) error { r.Fatal("answered"); return nil }
+func (r *refusalRecorder) Begin(int, http.Header, int64)         { r.Fatal("begun") }
+func (r *refusalRecorder) Write([]byte) error                    { r.Fatal("written"); return nil }
+func (r *refusalRecorder) Abort()                                { r.Fatal("aborted") }
 
 // Guards against requests that are taken while a stopping router returns its grants, and cut off.
-func TestRouterThatLeavesTakesNothing(t *testing.T) {
+func TestRefusingRouterAcceptsNoRequest(t *testing.T) {
 	n := New(&Settings{VM: "vm-0", GracePeriod: 8 * time.Second}, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
 	n.stopping.Store(true)
 	n.stopStartedAt.Store(time.Now().UnixMilli()) // long requests are still taken
 	n.refusing.Store(true)
-	caller := &refused{C: qt.New(t)}
+	caller := &refusalRecorder{C: qt.New(t)}
 	n.serve(context.Background(), &request.Request{ID: "r1"}, caller)
 	qt.Assert(t, caller.cause, qt.Equals, forward.RouterStopping)
 }
 
 // Guards against grants returned before the last request has ended.
-func TestLastRequestIsWaitedFor(t *testing.T) {
+func TestStopWaitsForLastRequest(t *testing.T) {
 	n := New(&Settings{VM: "vm-0"}, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
 	n.inFlight.Store(1)
 	var ended atomic.Bool
@@ -58,9 +58,9 @@
 }
 
 // The router ends while an answer is being written. The caller gets all of it.
-func TestAnswerIsWrittenToItsEnd(t *testing.T) {
+func TestListenerCloseCompletesResponse(t *testing.T) {
 	address := "127.0.0.1:0"
-	open, err := listenOn(&address)
+	ln, err := listenOn(&address)
 	qt.Assert(t, err, qt.IsNil)
 	begun, closing := make(chan struct{}), make(chan struct{})
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -70,7 +70,7 @@
 		_, _ = io.WriteString(w, "second half") // as above
 	})}
 	server.RegisterOnShutdown(func() { close(closing) })
-	l := &listener{ln: open, server: server, log: event.Discard()}
+	l := &listener{ln: ln, server: server, log: event.Discard()}
 	go l.serve()
 	answered := make(chan string)
 	go func() {
--- a/internal/node/warm_test.go
+++ b/internal/node/warm_test.go
@@ -13,15 +13,15 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// warmers are routers on one clock that know the list of routers as a test tells them.
-type warmers struct {
+// rankedFleet are routers on one clock that know the list of routers as a test tells them.
+type rankedFleet struct {
 	*qt.C
 	now   time.Time
 	nodes []*Node
 }
 
-func newWarmers(t testing.TB, routers int) *warmers {
-	w := &warmers{C: qt.New(t), now: time.Unix(1000, 0)}
+func newRankedFleet(t testing.TB, routers int) *rankedFleet {
+	w := &rankedFleet{C: qt.New(t), now: time.Unix(1000, 0)}
 	for i := range routers {
 		settings := &Settings{VM: fmt.Sprint("vm-", i), FailureDomain: "zone-1", CallerAddr: "127.0.0.1:1", Capacity: 1}
 		w.nodes = append(w.nodes, New(settings, Environment{Now: func() time.Time { return w.now },
@@ -30,8 +30,8 @@
 	return w
 }
 
-// learn lets routers know the list of those that are in it.
-func (w *warmers) learn(routers []*Node, listed []*Node) {
+// setMembers lets routers know the list of those that are in it.
+func (w *rankedFleet) setMembers(routers []*Node, listed []*Node) {
 	items := make([]store.Item, 0, len(listed))
 	for i, n := range listed {
 		record, err := json.Marshal(MemberRecord{Address: n.settings.CallerAddr, Peer: fmt.Sprintf("10.0.0.1:%d", i+1), Domain: "zone-1",
@@ -52,7 +52,7 @@
 }
 
 // senders are the routers that take themselves for the one that sends to a cold server.
-func (w *warmers) senders(server string) []*Node {
+func (w *rankedFleet) senders(server string) []*Node {
 	var list []*Node
 	for _, n := range w.nodes {
 		if isFirst(n, server) {
@@ -65,10 +65,10 @@
 // In health each cold server has exactly one sender, and the servers' senders differ.
 func TestColdServerHasOneSender(t *testing.T) {
 	for _, routers := range []int{8, 80, 195} {
-		w := newWarmers(t, routers)
-		w.learn(w.nodes, w.nodes)
+		w := newRankedFleet(t, routers)
+		w.setMembers(w.nodes, w.nodes)
 		w.now = w.now.Add(minListedTime)
-		w.learn(w.nodes, w.nodes)
+		w.setMembers(w.nodes, w.nodes)
 		used := map[*Node]bool{}
 		for i := range 40 {
 			senders := w.senders(fmt.Sprint("server-", i))
@@ -80,26 +80,26 @@
 }
 
 // Guards against cold servers that crash since each of the routers that start together sends to them.
-func TestRoutersThatStartTogetherWaitForEachOther(t *testing.T) {
-	w := newWarmers(t, 80)
+func TestRoutersStartingTogetherWaitForMembership(t *testing.T) {
+	w := newRankedFleet(t, 80)
 	for _, n := range w.nodes {
-		w.learn([]*Node{n}, []*Node{n})
+		w.setMembers([]*Node{n}, []*Node{n})
 	}
 	w.Assert(w.senders("server"), qt.HasLen, 0)
 	w.now = w.now.Add(fleetCheckAfter)
-	w.learn(w.nodes, w.nodes)
+	w.setMembers(w.nodes, w.nodes)
 	w.Assert(w.senders("server"), qt.HasLen, 0)
 	w.now = w.now.Add(minListedTime - fleetCheckAfter)
-	w.learn(w.nodes, w.nodes)
+	w.setMembers(w.nodes, w.nodes)
 	w.Assert(w.senders("server"), qt.HasLen, 1)
 }
 
 // Guards against two senders to a cold server for longer than the list can be old.
-func TestSenderThatLostTheStoreStops(t *testing.T) {
-	w := newWarmers(t, 80)
-	w.learn(w.nodes, w.nodes)
+func TestSenderStopsAfterLosingStore(t *testing.T) {
+	w := newRankedFleet(t, 80)
+	w.setMembers(w.nodes, w.nodes)
 	w.now = w.now.Add(minListedTime)
-	w.learn(w.nodes, w.nodes)
+	w.setMembers(w.nodes, w.nodes)
 	lost := w.senders("server")[0]
 	var others []*Node
 	for _, n := range w.nodes {
@@ -108,25 +108,25 @@
 		}
 	}
 	w.now = w.now.Add(entryLeaseTTL)
-	w.learn(others, others)
+	w.setMembers(others, others)
 	w.Assert(len(w.senders("server")) <= 2, qt.IsTrue)
 	w.now = w.now.Add(maxListAge - entryLeaseTTL + time.Millisecond)
-	w.learn(others, others)
+	w.setMembers(others, others)
 	w.Assert(w.senders("server"), qt.HasLen, 1)
 	w.Assert(isFirst(lost, "server"), qt.IsFalse)
 
 	// It is back, and waits until all know it.
-	w.learn(w.nodes, others)
-	w.learn(w.nodes, w.nodes)
+	w.setMembers(w.nodes, others)
+	w.setMembers(w.nodes, w.nodes)
 	w.Assert(isFirst(lost, "server"), qt.IsFalse)
 }
 
 // A router that stops sends nothing to cold servers: another one stands in for it at once.
-func TestStoppingRouterIsNoSender(t *testing.T) {
-	w := newWarmers(t, 1)
-	w.learn(w.nodes, w.nodes)
+func TestStoppingRouterIsNotSender(t *testing.T) {
+	w := newRankedFleet(t, 1)
+	w.setMembers(w.nodes, w.nodes)
 	w.now = w.now.Add(minListedTime)
-	w.learn(w.nodes, w.nodes)
+	w.setMembers(w.nodes, w.nodes)
 	w.Assert(isFirst(w.nodes[0], "server"), qt.IsTrue)
 	w.nodes[0].stopping.Store(true)
 	w.Assert(isFirst(w.nodes[0], "server"), qt.IsFalse)
