--- a/internal/escrow/away_test.go
+++ b/internal/escrow/away_test.go
@@ -10,21 +10,21 @@
 	"chicorytiller.example/chicorytiller/internal/event"
 )
 
-// unreachedPeers answer nobody.
-type unreachedPeers struct{ Peers }
+// unreachablePeers don't answer.
+type unreachablePeers struct{ Peers }
 
-func (unreachedPeers) BorrowFrom(context.Context, string, string, int64, string) Loan {
+func (unreachablePeers) BorrowFrom(context.Context, string, string, int64, string) Loan {
 	return Loan{Short: PeerUnreachable}
 }
 
-// Guards against passing a home by for a second because one caller left.
-func TestRequestWhoseTimeIsOverTellsNothingOfTheHome(t *testing.T) {
-	k := New(Options{Log: event.Discard(), Peers: unreachedPeers{}, Clock: func() ClockReading { return ClockReading{Steady: time.Minute} }})
-	h := &pendingReservation{manager: k, grant: k.grant("boatyard"), tokens: 1, missing: 1}
-	ctx, leave := context.WithCancel(context.Background())
-	leave()
-	k.borrowFrom(ctx, h, "home")
-	qt.Assert(t, k.isUnavailable("home"), qt.IsFalse)
-	k.borrowFrom(context.Background(), h, "home")
-	qt.Assert(t, k.isUnavailable("home"), qt.IsTrue)
+// Guards against skipping the home for holderBackoff because one request was cancelled.
+func TestCancelledRequestDoesNotMarkHomeUnavailable(t *testing.T) {
+	m := New(Options{Log: event.Discard(), Peers: unreachablePeers{}, Clock: func() ClockReading { return ClockReading{Steady: time.Minute} }})
+	r := &pendingReservation{manager: m, grant: m.grant("boatyard"), tokens: 1, missing: 1}
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	m.borrowFrom(ctx, r, "home")
+	qt.Assert(t, m.isUnavailable("home"), qt.IsFalse)
+	m.borrowFrom(context.Background(), r, "home")
+	qt.Assert(t, m.isUnavailable("home"), qt.IsTrue)
 }
