--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -11,7 +11,8 @@
 	"chicorytiller.example/chicorytiller/internal/upstream"
 )
 
-// relayBuffered reads an answer to its end before the caller gets any of it.
+// relayBuffered reads an answer to its end before it sends any of it to the caller. Answers of
+// maxBufferedAnswer bytes or more are passed to relayUnbuffered.
 func (t *task) relayBuffered(watch *watchdog, server *fleet.Server, reply *upstream.Reply) outcome {
 	body, err := io.ReadAll(io.LimitReader(reply, maxBufferedAnswer))
 	if err != nil {
@@ -38,8 +39,8 @@
 	return finished
 }
 
-// setOutput notes the output of a whole answer. What the server doesn't tell counts
-// as all that was asked for: less could spend what nobody paid.
+// setOutput records the output tokens of an answer. If the server does not report them, all the
+// tokens that the request asked for are charged: charging less could spend more than was paid.
 func (t *task) setOutput(output int) {
 	t.output = output
 	if output == upstream.OutputUnknown {
@@ -47,7 +48,7 @@
 	}
 }
 
-// relayUnbuffered passes on an answer that is too long to be held.
+// relayUnbuffered relays an answer that is too long to be buffered; head is what was read of it.
 func (t *task) relayUnbuffered(server *fleet.Server, reply *upstream.Reply, head []byte) outcome {
 	t.headSent, t.firstAt = true, time.Now()
 	t.setOutput(reply.Output)
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -17,19 +17,19 @@
 	"chicorytiller.example/chicorytiller/internal/upstream"
 )
 
-// outcome of one attempt.
+// outcome is the result of one attempt.
 type outcome int
 
 const (
-	finished     outcome = iota // the caller has its final answer
+	finished     outcome = iota // the caller got its final answer
 	unreachable                 // nothing was sent
-	rejected                    // the server did not run it
-	broken                      // the exchange broke before its end
-	retryGranted                // to be repeated, which is allowed and counted
-	callerGone                  // nobody waits any more
+	rejected                    // the server did not run the request
+	broken                      // the exchange broke off
+	retryGranted                // a retry has been allowed and counted
+	callerGone                  // the caller disconnected
 )
 
-// attempt sends the request to one server and passes its answer on.
+// attempt sends the request to one server and relays its answer.
 func (t *task) attempt(parent context.Context, choice balance.Choice) outcome {
 	server := choice.Server
 	t.tried[server.Incarnation] = true
@@ -63,12 +63,12 @@
 		return t.relayEvents(watch, server, reply)
 	}
 	if t.headSent {
-		return t.handleBroken(watch, server, errors.Errorf("status %d to a resumption", reply.Status))
+		return t.handleBroken(watch, server, errors.Errorf("status %d in answer to a resumed stream", reply.Status))
 	}
 	return t.relayBuffered(watch, server, reply)
 }
 
-// handleSendError judges an attempt that brought no answer.
+// handleSendError determines the outcome of an attempt without an answer.
 func (t *task) handleSendError(watch *watchdog, server *fleet.Server, err error) outcome {
 	if errors.Is(err, upstream.ErrNotSent) {
 		if watch.parent.Err() != nil && !t.pastDeadline() {
@@ -85,7 +85,7 @@
 	return t.handleBroken(watch, server, err)
 }
 
-// handleBroken judges an exchange that broke after the request was sent.
+// handleBroken determines the outcome of an exchange that broke off after the request was sent.
 func (t *task) handleBroken(watch *watchdog, server *fleet.Server, err error) outcome {
 	if watch.hasExpired() {
 		server.RecordFailure(time.Now())
@@ -103,21 +103,21 @@
 	return broken
 }
 
-// recordCrash counts a server that broke while it ran the request. Some requests crash
-// every server that begins to run them, and callers send them again.
+// recordCrash counts that a server failed while it ran the request. Some requests crash every
+// server that begins to run them, and callers send them again.
 func (t *task) recordCrash() {
 	if retry.StartsQuarantine(t.f.Quarantine.RecordCrash(t.contentHash)) {
 		t.f.Log.Emit(event.RequestQuarantined, slog.String(event.KeyRequest, t.r.ID), slog.Uint64("content", t.contentHash))
-		t.f.ReportCrash(t.contentHash)
+		t.f.ReportQuarantined(t.contentHash)
 	}
 }
 
 func (t *task) handleRejection(server *fleet.Server, reply *upstream.Reply) outcome {
 	if _, err := io.CopyN(io.Discard, reply, maxBufferedAnswer); err != io.EOF {
-		t.logFailure(server, "rejection unread", err) // the connection is closed for it
+		t.logFailure(server, "rejection unread", err) // the connection is then closed
 	}
 	if reply.Status == http.StatusMisdirectedRequest {
-		// Another server has the address: this one is gone.
+		// Another server has this address now: the one we meant is gone.
 		server.RecordFailure(time.Now())
 	}
 	t.logFailure(server, "rejected", errors.Errorf("status %d, load %+v", reply.Status, reply.Load))
--- a/internal/forward/ends.go
+++ b/internal/forward/ends.go
@@ -8,15 +8,16 @@
 	"chicorytiller.example/chicorytiller/internal/fleet"
 )
 
-// noBackendCause says why there is no server to send the request to.
+// noBackendCause returns why there is no server to send the request to.
 func (t *task) noBackendCause() Cause {
 	if refusal := t.f.checkServers(t.r); refusal != nil {
 		return refusal.Cause
 	}
-	return NoBackend // those that could take one have been tried
+	return NoBackend // all eligible servers have been tried
 }
 
-// failureCause keeps the promise of 'not run' truthful.
+// failureCause returns notRun, a cause that guarantees that the request has not run, only if that
+// is true, and BackendFailed otherwise.
 func (t *task) failureCause(notRun Cause) Cause {
 	if t.mayHaveRun {
 		return BackendFailed
@@ -31,7 +32,8 @@
 	return OverdueUnsent
 }
 
-// giveUp gives the caller its final answer; it returns true, for step.
+// giveUp refuses the request, or cuts its answer off if that has begun. It returns true, as the
+// result of step.
 func (t *task) giveUp(cause Cause) bool {
 	if !t.headSent {
 		t.f.refuse(t.r, t.caller, NewRefusal(cause), t.policy, t)
@@ -44,7 +46,7 @@
 	return true
 }
 
-// abandon notes that the caller left; it returns true, for step.
+// abandon ends the task after the caller disconnected. It returns true, as the result of step.
 func (t *task) abandon() bool {
 	t.caller.Abort()
 	t.f.Log.Emit(event.RequestAbandoned, append(t.attrs(), slog.Int("events", t.events))...)
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -12,12 +12,12 @@
 	"chicorytiller.example/chicorytiller/internal/upstream"
 )
 
-// streamBuffer holds some events of a stream.
+// streamBuffer is the size in bytes of the read buffer for a stream, enough for some events.
 const streamBuffer = 2048
 
-// relayEvents passes a stream on event by event. A server that breaks off in the
-// middle of an event leaves no part of it with the caller, so that the stream can
-// go on at another server right after the last whole event.
+// relayEvents relays a stream event by event. If the server breaks off in the middle of an
+// event, the caller gets no part of that event, so that another server can resume the stream
+// right after the last complete one.
 func (t *task) relayEvents(watch *watchdog, server *fleet.Server, reply *upstream.Reply) outcome {
 	events := eventstream.NewReader(bufio.NewReaderSize(reply, streamBuffer))
 	for {
@@ -30,10 +30,10 @@
 		}
 		watch.progress()
 		if e.HasID && t.hasEvent && e.ID <= t.lastEvent {
-			continue // the caller has it from an earlier attempt
+			continue // already relayed from an earlier attempt
 		}
 		if e.HasID && t.hasEvent && e.ID != t.lastEvent+1 {
-			return t.handleBroken(watch, server, errors.Errorf("event %d after %d", e.ID, t.lastEvent))
+			return t.handleBroken(watch, server, errors.Errorf("event %d follows event %d", e.ID, t.lastEvent))
 		}
 		if err := t.relayEvent(reply, e); err != nil {
 			return callerGone
@@ -47,14 +47,14 @@
 	if e.HasID {
 		t.lastEvent, t.hasEvent = e.ID, true
 	}
-	// Beside events with ids, those without hold no tokens: an end mark, a summary.
+	// In a stream with event IDs, events without one hold no tokens: an end marker, a summary.
 	if e.HasID || !t.hasEvent {
 		t.events++
 	}
 	return t.caller.Write(e.Raw)
 }
 
-// recordGap keeps the longest time between two events.
+// recordGap updates the longest time between two events.
 func (t *task) recordGap(now time.Time) {
 	if !t.lastEventAt.IsZero() {
 		t.maxGap = max(t.maxGap, now.Sub(t.lastEventAt))
@@ -67,7 +67,7 @@
 		return
 	}
 	t.headSent, t.firstAt = true, time.Now()
-	const unknown = -1 // events of another server may follow
+	const unknown = -1 // another server may continue the stream
 	t.caller.Begin(reply.Status, reply.Header, unknown)
 }
 
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,6 +1,6 @@
-// Package forward is the life of one request inside the router: admitted by the
-// policy, paid for, sent to a backend server, relayed, repeated or continued
-// elsewhere where that is allowed, and settled.
+// Package forward serves a request: it admits it by policy, reserves its tokens, sends it to a
+// backend server and relays the answer, retries or resumes it at another server where that is
+// allowed, and settles the tokens used.
 package forward
 
 import (
@@ -24,62 +24,64 @@
 	"chicorytiller.example/chicorytiller/internal/upstream"
 )
 
-// Caller takes the answer. Exactly one of Refuse, Answer, or Begin followed by
-// End or Abort is called.
+// Caller receives the answer of a request: one call of Refuse or Answer, or Begin and any number
+// of Write calls. An answer that can't be completed ends with Abort, which may also come first.
 type Caller interface {
 	Refuse(Refusal)
-	// Answer sends a whole answer.
+	// Answer sends a complete answer.
 	Answer(status int, header http.Header, body []byte) error
-	// Begin sends the head of an answer that goes on; length is -1 if unknown.
+	// Begin sends status and header of an answer whose body follows; length is that of the
+	// body, or -1 if unknown.
 	Begin(status int, header http.Header, length int64)
-	// Write sends a part at once.
+	// Write sends a part of the body without buffering.
 	Write(part []byte) error
-	// Abort ends the answer so that it can't be taken for a whole one.
+	// Abort ends the answer in a way that can't be mistaken for a complete one.
 	Abort()
 }
 
-// ServeFunc takes one decoded request of a caller. ctx ends when the caller leaves.
+// ServeFunc serves one decoded request. ctx is cancelled when the caller disconnects.
 type ServeFunc func(ctx context.Context, r *request.Request, caller Caller)
 
-// Exchanger sends attempts to backend servers.
+// Exchanger exchanges requests and answers with backend servers.
 type Exchanger interface {
 	Do(ctx context.Context, a *upstream.Attempt) (*upstream.Reply, error)
 }
 
-// Budget is where tokens are set aside.
+// Budget reserves tokens of client accounts.
 type Budget interface {
 	Reserve(ctx context.Context, account string, tokens int64) (*escrow.Reservation, error)
 }
 
-// Metrics counts what became of requests.
+// Metrics records the outcomes of requests.
 type Metrics interface {
 	Served(first, whole time.Duration)
 	Refused(cause Cause)
 	Retried(reason string)
 }
 
-// Forwarder serves requests. Its fields are set once.
+// Forwarder serves requests. Its fields must not change while it is in use.
 type Forwarder struct {
-	Policy     func() *policy.Policy // nil until one is known
+	Policy     func() *policy.Policy // returns nil until a configuration is known
 	Servers    func(service string) []*fleet.Server
 	Budget     Budget
 	Retries    *retry.Budget
 	Quarantine *retry.Quarantine
-	// ReportCrash tells the other routers of a content that breaks servers.
-	ReportCrash func(content uint64)
-	Chooser     *balance.Chooser
-	// RateLimits takes what servers say of the requests that they take.
+	// ReportQuarantined tells the other routers the content hash of a request that crashes
+	// servers.
+	ReportQuarantined func(contentHash uint64)
+	Chooser           *balance.Chooser
+	// RateLimits records the rate limits that servers state with their answers.
 	RateLimits *pacing.Limits
-	// PriorityGate keeps places at servers that bear few requests for urgent ones.
+	// PriorityGate reserves the capacity of cold and rate-limited servers for urgent requests.
 	PriorityGate *pacing.PriorityGate
 	Backend      Exchanger
-	// Limits holds accounts to their contracts.
+	// Limits enforces the request limits of accounts' contracts.
 	Limits  *limit.Limiter
 	Log     *event.Log
 	Metrics Metrics
 }
 
-// Serve answers one request. ctx ends when the caller leaves.
+// Serve answers one request. ctx is cancelled when the caller disconnects.
 func (f *Forwarder) Serve(ctx context.Context, r *request.Request, caller Caller) {
 	p := f.Policy()
 	cause := f.admit(p, r)
@@ -98,24 +100,24 @@
 		f.refuse(r, caller, *refusal, p, nil)
 		return
 	}
-	asked := time.Now()
+	start := time.Now()
 	reservation, cause := f.reserve(ctx, r)
 	if cause != "" {
 		f.refuse(r, caller, NewRefusal(cause), p, nil)
 		return
 	}
 	t := newTask(f, p, r, caller)
-	t.reserveTime = time.Since(asked)
+	t.reserveTime = time.Since(start)
 	t.run(ctx)
 	reservation.Settle(t.used())
 }
 
-// Refuse answers a request that is not to be served at all.
+// Refuse answers a request with refusal instead of serving it.
 func (f *Forwarder) Refuse(r *request.Request, caller Caller, refusal Refusal) {
 	f.refuse(r, caller, refusal, f.Policy(), nil)
 }
 
-// admit finds account, route and service of a request, or the cause to refuse it.
+// admit sets the request's account, route and service, or returns the cause to refuse it.
 func (f *Forwarder) admit(p *policy.Policy, r *request.Request) Cause {
 	if p == nil {
 		return NotReady
@@ -139,8 +141,8 @@
 	return ""
 }
 
-// checkServers refuses a request that none of its service's servers can take, before it waits for
-// its tokens; nil if one can.
+// checkServers returns a refusal if none of the service's servers can take the request, and nil if
+// one can. It is called before the request waits for its tokens.
 func (f *Forwarder) checkServers(r *request.Request) *Refusal {
 	out := f.Chooser.Outlook(f.Servers(r.Service))
 	switch out.Obstacle {
@@ -162,8 +164,8 @@
 	return nil
 }
 
-// checkLimits holds the request against the limits of its account's contract, if it
-// has one.
+// checkLimits checks the request against the limits of its account's contract, if there is one. If
+// refused is nil, done must be called when the request ends.
 func (f *Forwarder) checkLimits(r *request.Request) (done func(), refused *Refusal) {
 	if r.Account == nil || r.Account.Contract == nil {
 		return func() {}, nil
@@ -176,9 +178,9 @@
 	return done, nil
 }
 
-// reserveTimeout bounds the wait for tokens. A draw takes some ms; at the beginning
-// of an outage the grant opens within some two seconds, and most of what waits for
-// it is still answered in time.
+// reserveTimeout bounds the wait for tokens. A draw from the account takes a few milliseconds. At
+// the beginning of a store outage the grant becomes usable within about two seconds, and most
+// requests that wait for it are still answered in time.
 const reserveTimeout = 1200 * time.Millisecond
 
 func (f *Forwarder) reserve(ctx context.Context, r *request.Request) (*escrow.Reservation, Cause) {
@@ -225,11 +227,11 @@
 	f.Log.Emit(event.RequestRefused, attrs...)
 }
 
-// hashContent hashes what makes a request the same as an earlier one.
+// hashContent returns a hash by which a repetition of a request by the same caller is recognized.
 func hashContent(r *request.Request) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{r.Method, r.Host, r.Target, r.Key} {
-		_, _ = h.WriteString(part) // a hash takes everything
+		_, _ = h.WriteString(part) // never fails
 		_, _ = h.Write([]byte{0})
 	}
 	_, _ = h.Write(r.Body)
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -4,64 +4,64 @@
 	"time"
 )
 
-// Cause is why a request gets no answer of a backend server.
+// Cause is why a request gets no answer from a backend server.
 type Cause string
 
-// Causes. Those up to OverdueUnsent say that the request has not run and never will.
+// Causes. Those up to OverdueUnsent, except KeyInUse, guarantee that the request has not run and
+// never will.
 const (
-	NotReady           Cause = "no_configuration" // none known yet
-	Malformed          Cause = "bad_request"      // the interface can't make a request of it
-	UnknownRoute       Cause = "unknown_route"    // no route fits host and path
-	UnknownKey         Cause = "unknown_key"      // no client account holds the key
+	NotReady           Cause = "no_configuration" // no configuration known yet
+	Malformed          Cause = "bad_request"      // the request can't be decoded or is invalid
+	UnknownRoute       Cause = "unknown_route"    // no route matches host and path
+	UnknownKey         Cause = "unknown_key"      // no client account has the key
 	NotInContract      Cause = "not_in_contract"  // the account may not use the service
-	BodyTooLarge       Cause = "body_too_large"   // over the configured limit
-	OverLimit          Cause = "over_limit"       // of the account's requests at once or a second
+	BodyTooLarge       Cause = "body_too_large"   // larger than the configured limit
+	OverLimit          Cause = "over_limit"       // too many concurrent requests or requests per second of the account
 	KeyRequired        Cause = "idempotency_key_required"
-	KeyReused          Cause = "idempotency_key_reused"    // with another request
-	KeyInUse           Cause = "idempotency_key_in_use"    // its first request is not over, or its answer not kept
-	KeyUnclaimed       Cause = "idempotency_key_unclaimed" // store away
-	BudgetExhausted    Cause = "budget_exhausted"          // what is left doesn't cover it
-	BudgetHeld         Cause = "budget_held"               // the rest is granted to other routers
-	BudgetInDoubt      Cause = "budget_in_doubt"           // the rest may be spent by routers that died
-	BudgetUnreachable  Cause = "budget_unreachable"        // own grant used up, store away
-	NoBackend          Cause = "no_backend"                // none to send it to
-	BackendsEvacuated  Cause = "backends_evacuated"        // operators ordered to send nothing to any of them
-	BackendsCold       Cause = "backends_cold"             // all have just started and bear few requests
-	BackendsLimited    Cause = "backends_limited"          // all bear few requests, some by a limit that they name
-	BackendRejected    Cause = "backend_rejected"          // the server said that it did not run it
-	RouterStopping     Cause = "router_stopping"           // this process stops
-	RequestQuarantined Cause = "request_quarantined"       // it breaks the servers that run it
-	OverdueUnsent      Cause = "overdue_unsent"            // time ran out before it was sent
-	TimedOut           Cause = "timed_out"                 // sent, no answer in time
-	BackendFailed      Cause = "backend_failed"            // sent, the exchange broke
+	KeyReused          Cause = "idempotency_key_reused"    // used before with a different request
+	KeyInUse           Cause = "idempotency_key_in_use"    // the first request with it is running, or its answer was not kept
+	KeyUnclaimed       Cause = "idempotency_key_unclaimed" // the store is unreachable
+	BudgetExhausted    Cause = "budget_exhausted"          // the remaining tokens don't cover the request
+	BudgetHeld         Cause = "budget_held"               // the remaining tokens are granted to other routers
+	BudgetInDoubt      Cause = "budget_in_doubt"           // the remaining tokens may have been spent by routers that died
+	BudgetUnreachable  Cause = "budget_unreachable"        // this router's grant is used up and the store unreachable
+	NoBackend          Cause = "no_backend"                // no server to send the request to
+	BackendsEvacuated  Cause = "backends_evacuated"        // operators have ordered all servers evacuated
+	BackendsCold       Cause = "backends_cold"             // all servers have recently started and can handle only few requests
+	BackendsLimited    Cause = "backends_limited"          // all servers are cold or limit their request rate
+	BackendRejected    Cause = "backend_rejected"          // the server answered that it did not run the request
+	RouterStopping     Cause = "router_stopping"           // this process is shutting down
+	RequestQuarantined Cause = "request_quarantined"       // the request crashes the servers that run it
+	OverdueUnsent      Cause = "overdue_unsent"            // deadline exceeded before the request was sent
+	TimedOut           Cause = "timed_out"                 // sent, no answer before the deadline
+	BackendFailed      Cause = "backend_failed"            // sent, the exchange broke off
 )
 
-// NotRun says whether the cause promises that the request has not run and won't.
+// NotRun reports whether the cause guarantees that the request has not run and never will.
 func (c Cause) NotRun() bool {
 	return c != TimedOut && c != BackendFailed && c != KeyInUse
 }
 
-// Refusal is a final answer of the router's own.
+// Refusal is a final answer by the router itself.
 type Refusal struct {
 	Cause Cause
-	// RetryAfter is when another try makes sense; zero: it doesn't say.
+	// RetryAfter is the time after which a retry may succeed; zero if unknown.
 	RetryAfter time.Duration
-	// Detail tells a person more; it may be empty.
+	// Detail is an optional explanation for people.
 	Detail string
 }
 
-// Times after which another try makes sense.
+// Values of Refusal.RetryAfter.
 const (
-	// retrySoon suits a rejection: another server or router may be free at once.
+	// retrySoon is for rejections: another server or router may be free at once.
 	retrySoon = 250 * time.Millisecond
-	// retryLater suits what a store call or a restarted process has to mend.
+	// retryLater is for causes that end with a store call or the restart of a process.
 	retryLater = 800 * time.Millisecond
-	// retryMuchLater suits what an operator has to mend.
+	// retryMuchLater is for causes that an operator has to fix.
 	retryMuchLater = 10 * time.Second
 )
 
-// NewRefusal is the refusal for a cause, with the time after which another try makes
-// sense.
+// NewRefusal returns the refusal for a cause with its usual RetryAfter.
 func NewRefusal(c Cause) Refusal {
 	switch c {
 	case NotReady, BudgetHeld, BudgetUnreachable, NoBackend, BackendsEvacuated, BackendsCold, BackendsLimited:
--- a/internal/forward/task.go
+++ b/internal/forward/task.go
@@ -9,51 +9,51 @@
 	"chicorytiller.example/chicorytiller/internal/request"
 )
 
-// Bounds of one task.
+// Limits of one task.
 const (
-	// maxDialFailures bounds the servers that a request finds unreachable. A dial that
-	// fails sends nothing, so it is no repeat.
+	// maxDialFailures is the number of unreachable servers after which a request is given
+	// up. A failed dial sends nothing, so it does not count as a retry.
 	maxDialFailures = 4
-	// minTimeLeft is the time below which a server can't answer any more.
+	// minTimeLeft is the remaining time below which no server can answer before the deadline.
 	minTimeLeft = 10 * time.Millisecond
-	// deadlineGrace is how long a server's own answer at its deadline may take to
-	// arrive before the router ends the wait itself.
+	// deadlineGrace is how long after the deadline the router waits for an answer that the
+	// server itself sends at the deadline.
 	deadlineGrace = 100 * time.Millisecond
-	// maxBufferedAnswer bounds the answers that are read whole before they are passed
-	// on, so that one which breaks off can be repeated; longer ones are relayed.
+	// maxBufferedAnswer is the size in bytes below which an answer is read completely before
+	// it is relayed, so that the request can be retried if the answer breaks off.
 	maxBufferedAnswer = 256 << 10
 )
 
-// task is one admitted request on its way through backend servers.
+// task is one admitted request and the state of its attempts at backend servers.
 type task struct {
 	f           *Forwarder
 	policy      *policy.Policy
 	r           *request.Request
 	caller      Caller
 	contentHash uint64
-	// deadline is when the caller or the route stops waiting; zero: never.
+	// deadline is when the caller's or the route's timeout ends; zero if there is none.
 	deadline time.Time
 
-	tried        map[string]bool // starts of servers not to be asked again
-	sends        int             // attempts that reached a server
-	dialFailures int             // servers that were unreachable
+	tried        map[string]bool // incarnations of servers already tried
+	sends        int             // attempts that were sent to a server
+	dialFailures int             // attempts that could not connect
 	mayHaveRun   bool
 	lastFailure  string
 
-	// What the request waited for, for the log.
-	reserveTime time.Duration // for its tokens
-	sentAt      time.Time     // the last time
-	prefill     float64       // prompt tokens that its server was expected to read
-	lastEventAt time.Time     // of the last event passed on
-	maxGap      time.Duration // the longest between two events
+	// Timings and sizes for the log.
+	reserveTime time.Duration // time to reserve its tokens
+	sentAt      time.Time     // start of the last attempt
+	prefill     float64       // prompt tokens that the server was expected to process
+	lastEventAt time.Time     // time of the last event relayed
+	maxGap      time.Duration // longest time between two events
 
-	headSent  bool // the head was passed on
+	headSent  bool // status and header were relayed, without buffering the body
 	firstAt   time.Time
 	lastEvent int64
 	hasEvent  bool
 	events    int
-	output    int  // tokens of a whole answer, as its server told
-	succeeded bool // a whole answer was passed on, and it is a success
+	output    int  // output tokens of an answer, except those of events
+	succeeded bool // a buffered answer with status 200 was relayed
 }
 
 func newTask(f *Forwarder, p *policy.Policy, r *request.Request, caller Caller) *task {
@@ -69,9 +69,9 @@
 	return t
 }
 
-// used is the tokens that the client account pays: the prompt once, and what was passed on.
-// A request of whose answer nothing was passed on costs nothing, also if it ran: nobody would
-// pay a prompt twice because a server broke or a caller left early.
+// used returns the number of tokens charged to the client account: the prompt once, and the output
+// that was relayed. A request of whose answer nothing was relayed costs nothing even if it ran, so
+// that no one pays for a prompt twice because a server failed or the caller disconnected early.
 func (t *task) used() int64 {
 	if !t.headSent && !t.succeeded {
 		return 0
@@ -83,7 +83,7 @@
 	return int64(t.r.PromptTokens) + int64(min(out, t.r.OutputTokens))
 }
 
-// run sends the request until it is answered or given up.
+// run makes attempts until the request is answered or given up.
 func (t *task) run(ctx context.Context) {
 	if !t.deadline.IsZero() {
 		var cancel context.CancelFunc
@@ -94,7 +94,7 @@
 	}
 }
 
-// step makes one attempt and says whether the task is over.
+// step makes one attempt and reports whether the task is finished.
 func (t *task) step(ctx context.Context) bool {
 	if !t.deadline.IsZero() && time.Until(t.deadline) < minTimeLeft {
 		return t.giveUp(t.timeoutCause())
@@ -132,7 +132,7 @@
 	return t.tried[s.Incarnation]
 }
 
-// acquireRetry says whether the request may be sent once more, and counts it.
+// acquireRetry reports whether the request may be sent once more and, if so, counts the retry.
 func (t *task) acquireRetry(reason string) bool {
 	if t.sends >= t.r.Route.Attempts || t.f.Quarantine.Contains(t.contentHash) {
 		return false
--- a/internal/forward/watchdog.go
+++ b/internal/forward/watchdog.go
@@ -6,32 +6,33 @@
 	"time"
 )
 
-// Patience with a silent server, before the request goes on at another one.
+// Timeouts of a silent server, after which the request is sent to another one.
 const (
-	// firstByteFactor is how many times the route's goal a server may take to begin.
-	// A queue makes a sound server late by about the goal; one that has hung
-	// never begins, and callers leave at four times the goal.
-	firstByteFactor = 2
-	// gapFactor is how many times the route's gap goal a stream may pause.
+	// startFactor times the route's goal is how long a server may take to begin its answer.
+	// A healthy server with a queue is late by about the goal, one that hangs never answers,
+	// and callers disconnect at four times the goal.
+	startFactor = 2
+	// gapFactor times the route's gap goal is how long a stream may pause between events.
 	gapFactor = 2.5
-	// minFirstByteTimeout and leastGap are used where the route states no goal.
-	minFirstByteTimeout = 400 * time.Millisecond
-	minGapTimeout       = 1 * time.Second
+	// minStartTimeout and minGapTimeout are lower bounds of both, used also where the route
+	// states no goal.
+	minStartTimeout = 400 * time.Millisecond
+	minGapTimeout   = 1 * time.Second
 )
 
-// watchdog ends an attempt whose server is silent, if the request may then be sent
-// to another. Without it a server that hangs holds a request until its deadline
-// although its connection is sound.
+// watchdog cancels an attempt whose server is silent, if the request may then be sent to another
+// server. Without it, a server that hangs with its connection intact would hold the request until
+// its deadline.
 type watchdog struct {
-	parent     context.Context // the task's
-	ctx        context.Context // the attempt's
+	parent     context.Context // of the task
+	ctx        context.Context // of the attempt
 	cancel     context.CancelFunc
-	timer      *time.Timer // nil if the request can't be repeated
+	timer      *time.Timer // nil if the request can't be retried
 	gapTimeout time.Duration
 	expired    atomic.Bool
 }
 
-// watch starts the watchdog of the next attempt.
+// watch starts a watchdog for the next attempt.
 func (t *task) watch(parent context.Context) *watchdog {
 	w := &watchdog{parent: parent}
 	w.ctx, w.cancel = context.WithCancel(parent)
@@ -40,10 +41,10 @@
 		return w
 	}
 	w.gapTimeout = max(minGapTimeout, time.Duration(gapFactor*float64(route.GapGoal)))
-	firstByteTimeout := max(minFirstByteTimeout, firstByteFactor*route.Goal)
+	startTimeout := max(minStartTimeout, startFactor*route.Goal)
 	retries, service, metrics := t.f.Retries, t.r.Service, t.f.Metrics
-	w.timer = time.AfterFunc(firstByteTimeout, func() {
-		// Only a repeat that is allowed makes it right to give this attempt up.
+	w.timer = time.AfterFunc(startTimeout, func() {
+		// Cancel the attempt only if the request may be retried.
 		if !retries.TryAcquire(service) {
 			return
 		}
@@ -54,14 +55,14 @@
 	return w
 }
 
-// progress notes that the server sent something.
+// progress restarts the timeout after the server sent an event.
 func (w *watchdog) progress() {
 	if w.timer != nil {
 		w.timer.Reset(w.gapTimeout)
 	}
 }
 
-// hasExpired says whether the watchdog ended the attempt.
+// hasExpired reports whether the watchdog cancelled the attempt.
 func (w *watchdog) hasExpired() bool {
 	return w.expired.Load()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -167,19 +167,19 @@
 	n.metrics.registerLimitedBackends(n.limits.Count)
 	pacer := &pacing.Limiter{ColdRate: n.coldRate, SenderRank: n.rankFor, Limits: n.limits, Now: time.Now}
 	n.forward = &forward.Forwarder{
-		Policy:       n.policy.Load,
-		Servers:      func(service string) []*fleet.Server { return n.registry.View().ByService[service] },
-		Budget:       n.grants,
-		Retries:      n.retries,
-		Quarantine:   n.quarantine,
-		ReportCrash:  n.reportQuarantined,
-		Chooser:      balance.NewChooser(s.FailureDomain, pacer, nil),
-		RateLimits:   n.limits,
-		PriorityGate: &pacing.PriorityGate{Now: time.Now},
-		Backend:      n.client,
-		Limits:       limit.New(n.routerCount, nil),
-		Log:          log,
-		Metrics:      n.metrics,
+		Policy:            n.policy.Load,
+		Servers:           func(service string) []*fleet.Server { return n.registry.View().ByService[service] },
+		Budget:            n.grants,
+		Retries:           n.retries,
+		Quarantine:        n.quarantine,
+		ReportQuarantined: n.reportQuarantined,
+		Chooser:           balance.NewChooser(s.FailureDomain, pacer, nil),
+		RateLimits:        n.limits,
+		PriorityGate:      &pacing.PriorityGate{Now: time.Now},
+		Backend:           n.client,
+		Limits:            limit.New(n.routerCount, nil),
+		Log:               log,
+		Metrics:           n.metrics,
 	}
 	return n
 }
