--- a/internal/escrow/gather.go
+++ b/internal/escrow/gather.go
@@ -43,19 +43,19 @@
 
 // spentByVM returns what a VM is known to have spent of an account: by its report if that is
 // recent, else by the record. The caller holds m.mu.
-func (m *GrantManager) spentByVM(p *grant, vm string) int64 {
-	if report, known := p.reports[vm]; known && m.o.Clock().Steady-report.at < usageReportTTL {
+func (m *GrantManager) spentByVM(g *grant, vm string) int64 {
+	if report, known := g.reports[vm]; known && m.o.Clock().Steady-report.at < usageReportTTL {
 		return report.spent
 	}
-	return p.record.SpentBy(vm)
+	return g.record.SpentBy(vm)
 }
 
 // spentElsewhere returns what all other processes are known to have spent. The caller holds m.mu.
-func (m *GrantManager) spentElsewhere(p *grant) int64 {
-	sum := p.record.ClosedSpent + p.record.SpentBy(m.o.VM) - p.record.GrantEntry(m.o.VM, m.o.Incarnation).Spent
-	for vm := range p.record.Holders {
+func (m *GrantManager) spentElsewhere(g *grant) int64 {
+	sum := g.record.ClosedSpent + g.record.SpentBy(m.o.VM) - g.record.GrantEntry(m.o.VM, m.o.Incarnation).Spent
+	for vm := range g.record.Holders {
 		if vm != m.o.VM {
-			sum += m.spentByVM(p, vm)
+			sum += m.spentByVM(g, vm)
 		}
 	}
 	return sum
@@ -71,20 +71,20 @@
 // requestGathering makes sure that a gathering for the account is pending or in progress. It
 // returns false if no other router is known to have tokens. The caller holds m.mu.
 func (m *GrantManager) requestGathering(r *pendingReservation) bool {
-	p := r.grant
-	if p.gathering {
+	g := r.grant
+	if g.gathering {
 		return true
 	}
-	if p.shortGatherAt > 0 && m.o.Clock().Steady-p.shortGatherAt < shortGatherBackoff {
+	if g.shortGatherAt > 0 && m.o.Clock().Steady-g.shortGatherAt < shortGatherBackoff {
 		return false
 	}
-	vm, address := m.largestOtherHolder(p)
+	vm, address := m.largestOtherHolder(g)
 	if address == "" {
 		return false
 	}
-	p.gathering = true
-	tokens := max(r.missing, int64(p.rate*gatherHorizon.Seconds()))
-	m.pendingGatherings = append(m.pendingGatherings, gathering{grant: p, vm: vm, address: address, tokens: tokens})
+	g.gathering = true
+	tokens := max(r.missing, int64(g.rate*gatherHorizon.Seconds()))
+	m.pendingGatherings = append(m.pendingGatherings, gathering{grant: g, vm: vm, address: address, tokens: tokens})
 	select {
 	case m.gatherDue <- struct{}{}:
 	default: // already signalled
@@ -124,14 +124,14 @@
 
 // largestOtherHolder returns the other VM that is known to have the most unspent tokens, and its
 // address. The address is empty if there is no such VM that can be asked.
-func (m *GrantManager) largestOtherHolder(p *grant) (vm, address string) {
+func (m *GrantManager) largestOtherHolder(g *grant) (vm, address string) {
 	most, now := int64(0), m.o.Clock().Steady
-	for name := range p.record.Holders {
+	for name := range g.record.Holders {
 		at, unreached := m.unreached[name]
 		if name == m.o.VM || m.vmAddresses[name] == "" || unreached && now-at < unreachableBackoff {
 			continue
 		}
-		left := p.record.GrantedTo(name) - m.spentByVM(p, name)
+		left := g.record.GrantedTo(name) - m.spentByVM(g, name)
 		if left > most {
 			most, vm, address = left, name, m.vmAddresses[name]
 		}
@@ -141,27 +141,27 @@
 
 // runGathering borrows from one router and ends the gathering. That router lends only tokens that
 // no queued request waits for.
-func (m *GrantManager) runGathering(ctx context.Context, g gathering) {
+func (m *GrantManager) runGathering(ctx context.Context, req gathering) {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
-	p := g.grant
-	loan := m.o.Peers.BorrowFrom(ctx, g.address, p.account, g.tokens, noWaiter)
+	g := req.grant
+	loan := m.o.Peers.BorrowFrom(ctx, req.address, g.account, req.tokens, noWaiter)
 	m.mu.Lock()
-	p.borrowed += loan.Tokens
-	p.gathering = false
+	g.borrowed += loan.Tokens
+	g.gathering = false
 	now := m.o.Clock().Steady
 	if loan.Short == PeerUnreachable {
-		m.unreached[g.vm] = now
+		m.unreached[req.vm] = now
 	} else {
-		p.reports[g.vm] = usageReport{spent: loan.Spent, at: now}
-		if loan.Tokens < g.tokens {
-			p.shortGatherAt = now
+		g.reports[req.vm] = usageReport{spent: loan.Spent, at: now}
+		if loan.Tokens < req.tokens {
+			g.shortGatherAt = now
 		}
 	}
-	if loan.Tokens > 0 || p.gatherLog.due(now) {
-		m.o.Log.Emit(event.TokensGathered, slog.String(event.KeyBudget, p.account), slog.String(event.KeyRouter, g.vm),
-			slog.Int64("wanted", g.tokens), slog.Int64(event.KeyTokens, loan.Tokens), slog.Int64("spent", loan.Spent),
-			slog.Int("unlogged", p.gatherLog.take()))
+	if loan.Tokens > 0 || g.gatherLog.due(now) {
+		m.o.Log.Emit(event.TokensGathered, slog.String(event.KeyBudget, g.account), slog.String(event.KeyRouter, req.vm),
+			slog.Int64("wanted", req.tokens), slog.Int64(event.KeyTokens, loan.Tokens), slog.Int64("spent", loan.Spent),
+			slog.Int("unlogged", g.gatherLog.take()))
 	}
 	m.mu.Unlock()
 	m.broadcast()
--- a/internal/escrow/gather_test.go
+++ b/internal/escrow/gather_test.go
@@ -28,16 +28,16 @@
 	record.Holders["vm-2"] = map[string]GrantEntry{"p2": {Granted: 50_000, Spent: 45_000}}
 	record.Holders["vm-3"] = map[string]GrantEntry{"p3": {Granted: 20_000, Spent: 1_000}}
 	record.Holders["vm-4"] = map[string]GrantEntry{"p4": {Granted: 30_000}}
-	p := m.grant("boatyard")
-	p.record = record
-	vm, address := m.largestOtherHolder(p)
+	g := m.grant("boatyard")
+	g.record = record
+	vm, address := m.largestOtherHolder(g)
 	qt.Assert(t, vm, qt.Equals, "vm-3")
 	qt.Assert(t, address, qt.Equals, "three")
 	m.unreached["vm-3"] = m.o.Clock().Steady
-	_, address = m.largestOtherHolder(p)
+	_, address = m.largestOtherHolder(g)
 	qt.Assert(t, address, qt.Equals, "two")
 	b.steady += unreachableBackoff
-	_, address = m.largestOtherHolder(p)
+	_, address = m.largestOtherHolder(g)
 	qt.Assert(t, address, qt.Equals, "three")
 }
 
@@ -75,7 +75,7 @@
 	vm, _ := m.largestOtherHolder(r.grant)
 	c.Assert(vm, qt.Equals, "")
 	b.steady += usageReportTTL
-	c.Assert(m.shortageError(r), qt.Equals, ErrContended, qt.Commentf("the report is old"))
+	c.Assert(m.shortageError(r), qt.Equals, ErrContended, qt.Commentf("the report has expired"))
 }
 
 // Guards against a report that counts tokens as spent which were just lent and may be returned.
--- a/internal/escrow/holders.go
+++ b/internal/escrow/holders.go
@@ -105,11 +105,11 @@
 }
 
 // role is roleOf for callers that hold m.mu.
-func (m *GrantManager) role(p *grant) role {
+func (m *GrantManager) role(g *grant) role {
 	switch {
-	case m.o.Home(p.account) == "":
+	case m.o.Home(g.account) == "":
 		return home
-	case p.lastAskedAt > 0 && m.o.Clock().Steady-p.lastAskedAt < standbyTimeout:
+	case g.lastAskedAt > 0 && m.o.Clock().Steady-g.lastAskedAt < standbyTimeout:
 		return standby
 	}
 	return borrower
@@ -194,8 +194,8 @@
 
 // mayDraw reports whether this router may draw for a request: either it is one of the account's
 // holders, or a draw of last resort is due.
-func (m *GrantManager) mayDraw(p *grant) bool {
-	isHolder := slices.Contains(m.o.Holders(p.account), "")
+func (m *GrantManager) mayDraw(g *grant) bool {
+	isHolder := slices.Contains(m.o.Holders(g.account), "")
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.o.Clock().Steady
@@ -203,13 +203,13 @@
 		return false
 	}
 	if isHolder {
-		p.lastAskedAt = now // acts as a standby from now on
+		g.lastAskedAt = now // acts as a standby from now on
 		return true
 	}
-	if now < p.nextLastResortDraw {
+	if now < g.nextLastResortDraw {
 		return false
 	}
-	p.nextLastResortDraw = now + lastResortInterval/2 + rand.N(lastResortInterval)
+	g.nextLastResortDraw = now + lastResortInterval/2 + rand.N(lastResortInterval)
 	return true
 }
 
@@ -222,12 +222,12 @@
 // shortageError returns why the record can't cover the missing tokens, as far as this router
 // knows. The caller holds m.mu.
 func (m *GrantManager) shortageError(r *pendingReservation) error {
-	p := r.grant
-	prepaid := m.o.Budgets()[p.account]
+	g := r.grant
+	prepaid := m.o.Budgets()[g.account]
 	// Tokens spent by other routers count as far as their reports or the record show them.
-	used := p.used() - (r.tokens - r.missing) + m.spentElsewhere(p)
-	left := prepaid - used + p.recentlyLent.sum(m.o.Clock().Steady)
-	inDoubt := p.record.Closed - p.record.ClosedSpent
+	used := g.used() - (r.tokens - r.missing) + m.spentElsewhere(g)
+	left := prepaid - used + g.recentlyLent.sum(m.o.Clock().Steady)
+	inDoubt := g.record.Closed - g.record.ClosedSpent
 	err := ErrContended
 	switch {
 	case left < r.tokens:
@@ -235,20 +235,20 @@
 	case left-inDoubt < r.tokens:
 		err = ErrInDoubt
 	}
-	m.logShortage(p, prepaid, used, left, err)
+	m.logShortage(g, prepaid, used, left, err)
 	return err
 }
 
 // logShortage logs that a budget can't cover a request, at most once a second. The caller
 // holds m.mu.
-func (m *GrantManager) logShortage(p *grant, prepaid, used, left int64, cause error) {
-	if !p.shortageLog.due(m.o.Clock().Steady) {
+func (m *GrantManager) logShortage(g *grant, prepaid, used, left int64, cause error) {
+	if !g.shortageLog.due(m.o.Clock().Steady) {
 		return
 	}
-	m.o.Log.Emit(event.BudgetShort, slog.String(event.KeyBudget, p.account), slog.Int64("prepaid", prepaid),
-		slog.Int64("given", p.record.TotalGranted()), slog.Int64("closed", p.record.Closed),
-		slog.Int64("closed_spent", p.record.ClosedSpent), slog.Int64("used", used), slog.Int64("left", left),
-		slog.Int64("revision", p.revision), slog.Any(event.KeyCause, cause), slog.Int("unlogged", p.shortageLog.take()))
+	m.o.Log.Emit(event.BudgetShort, slog.String(event.KeyBudget, g.account), slog.Int64("prepaid", prepaid),
+		slog.Int64("given", g.record.TotalGranted()), slog.Int64("closed", g.record.Closed),
+		slog.Int64("closed_spent", g.record.ClosedSpent), slog.Int64("used", used), slog.Int64("left", left),
+		slog.Int64("revision", g.revision), slog.Any(event.KeyCause, cause), slog.Int("unlogged", g.shortageLog.take()))
 }
 
 // recentLoans counts the tokens lent in the current recentLoanWindow and the one before it.
@@ -315,8 +315,8 @@
 }
 
 // mayBorrow reports whether emptyBorrowBackoff has passed.
-func (m *GrantManager) mayBorrow(p *grant) bool {
+func (m *GrantManager) mayBorrow(g *grant) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return p.emptyBorrowAt == 0 || m.o.Clock().Steady-p.emptyBorrowAt >= emptyBorrowBackoff
+	return g.emptyBorrowAt == 0 || m.o.Clock().Steady-g.emptyBorrowAt >= emptyBorrowBackoff
 }
--- a/internal/escrow/holders_test.go
+++ b/internal/escrow/holders_test.go
@@ -216,7 +216,7 @@
 				stats := f.sendRequests(ctx, routerNames(MaxHolders, size), duration)
 				c.Assert(stats.refused, qt.HasLen, 0)
 				c.Assert(stats.served > (size-MaxHolders)*30, qt.IsTrue, qt.Commentf("%d served", stats.served))
-				c.Assert(f.writesBy(routerNames(4, size)), qt.Equals, int64(0), qt.Commentf("others than the third standby write"))
+				c.Assert(f.writesBy(routerNames(4, size)), qt.Equals, int64(0), qt.Commentf("routers below the third standby wrote"))
 				// A standby holds two seconds of use. It writes several times a second until
 				// its rate of use is known.
 				writes := f.writesBy(routerNames(0, size))
@@ -289,7 +289,7 @@
 		c := qt.New(t)
 		first := f.sendRequests(ctx, routerNames(1, 8), 6*time.Second)
 		c.Assert(first.refused, qt.HasLen, 0)
-		c.Assert(f.managers["r0"].grants["boatyard"].granted > paid*3/4, qt.IsTrue, qt.Commentf("the home holds most"))
+		c.Assert(f.managers["r0"].grants["boatyard"].granted > paid*3/4, qt.IsTrue, qt.Commentf("the home must hold most of the budget"))
 		f.stores["r0"].unavailable = true
 		f.unlist("r0")
 		time.Sleep(3 * time.Second)
--- a/internal/escrow/lend.go
+++ b/internal/escrow/lend.go
@@ -50,10 +50,10 @@
 
 // refreshStandby makes this router a standby for the account for the next standbyTimeout, unless
 // it is the home.
-func (m *GrantManager) refreshStandby(p *grant) {
+func (m *GrantManager) refreshStandby(g *grant) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p.lastAskedAt = m.o.Clock().Steady
+	g.lastAskedAt = m.o.Clock().Steady
 }
 
 // drawForLoan draws the missing tokens of a loan, and returns the reason if it can't.
@@ -82,9 +82,9 @@
 func (m *GrantManager) TakeBack(account string, tokens int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p := m.grant(account)
-	p.lent -= tokens
-	p.usedSinceRateUpdate -= tokens
+	g := m.grant(account)
+	g.lent -= tokens
+	g.usedSinceRateUpdate -= tokens
 }
 
 const (
@@ -125,17 +125,17 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	byHome := make(map[string]map[string]int64)
-	for account, p := range m.grants {
+	for account, g := range m.grants {
 		address := m.o.Home(account)
-		tokens := p.available(m.contactAge())
-		if m.role(p) != borrower || tokens <= 0 {
+		tokens := g.available(m.contactAge())
+		if m.role(g) != borrower || tokens <= 0 {
 			continue
 		}
 		if byHome[address] == nil {
 			byHome[address] = make(map[string]int64)
 		}
 		byHome[address][account] = tokens
-		p.lent += tokens
+		g.lent += tokens
 	}
 	return byHome
 }
@@ -158,10 +158,10 @@
 func (m *GrantManager) HandOver(ctx context.Context, address string) {
 	m.mu.Lock()
 	tokensByAccount := make(map[string]int64)
-	for account, p := range m.grants {
-		if tokens := p.available(m.contactAge()); tokens > 0 {
+	for account, g := range m.grants {
+		if tokens := g.available(m.contactAge()); tokens > 0 {
 			tokensByAccount[account] = tokens
-			p.lent += tokens
+			g.lent += tokens
 		}
 	}
 	m.mu.Unlock()
@@ -186,9 +186,9 @@
 		return false
 	}
 	for account, n := range tokens {
-		p := m.grant(account)
-		p.borrowed += max(0, n)
-		p.usedSinceRateUpdate -= max(0, n)
+		g := m.grant(account)
+		g.borrowed += max(0, n)
+		g.usedSinceRateUpdate -= max(0, n)
 	}
 	return true
 }
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -265,8 +265,8 @@
 // exceedsRecord reports whether the missing tokens exceed the rest of this router's grant and
 // what the record has left to grant.
 func (m *GrantManager) exceedsRecord(r *pendingReservation) bool {
-	p := r.grant
-	return p.ungranted(m.o.Budgets()[p.account])+p.granted-p.used() < r.missing
+	g := r.grant
+	return g.ungranted(m.o.Budgets()[g.account])+g.granted-g.used() < r.missing
 }
 
 func (m *GrantManager) stopWaiting(r *pendingReservation) {
--- a/internal/escrow/stop.go
+++ b/internal/escrow/stop.go
@@ -44,15 +44,15 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d := draw{}
-	for _, p := range m.grants {
-		if !p.recordKnown || p.record.GrantEntry(m.o.VM, m.o.Incarnation).Seq == 0 || len(d.grants) == maxTxnAccounts {
+	for _, g := range m.grants {
+		if !g.recordKnown || g.record.GrantEntry(m.o.VM, m.o.Incarnation).Seq == 0 || len(d.grants) == maxTxnAccounts {
 			continue
 		}
-		used := max(0, min(p.granted, p.used()))
-		p.granted = min(p.granted, used)
-		d.pendingRevision = append(d.pendingRevision, p.pendingRevision)
-		d.grants = append(d.grants, p)
-		d.putRecord(m.accountKey(p), p.revision, p.record.WithoutEntry(m.o.VM, m.o.Incarnation, used, m.maxSpent(&d, p)))
+		used := max(0, min(g.granted, g.used()))
+		g.granted = min(g.granted, used)
+		d.pendingRevision = append(d.pendingRevision, g.pendingRevision)
+		d.grants = append(d.grants, g)
+		d.putRecord(m.accountKey(g), g.revision, g.record.WithoutEntry(m.o.VM, m.o.Incarnation, used, m.maxSpent(&d, g)))
 	}
 	return d, len(d.grants) > 0
 }
@@ -69,18 +69,18 @@
 		return err
 	}
 	if errors.Is(err, store.ErrUnavailable) {
-		for i, p := range d.grants { // nothing was written: the grants are unchanged
-			p.pendingRevision = d.pendingRevision[i]
-			p.applyRecord(p.record, p.revision, p.record.GrantEntry(m.o.VM, m.o.Incarnation))
+		for i, g := range d.grants { // nothing was written: the grants are unchanged
+			g.pendingRevision = d.pendingRevision[i]
+			g.applyRecord(g.record, g.revision, g.record.GrantEntry(m.o.VM, m.o.Incarnation))
 		}
 	}
 	if err != nil {
 		return errors.Wrap(err, "return grants")
 	}
 	m.logClosedGrants(d)
-	for i, p := range d.grants {
-		p.record, p.revision = d.records[i], int64(result.Revision)
-		m.o.Log.Emit(event.GrantsReturned, slog.String(event.KeyBudget, p.account), slog.Int64("spent", p.spent))
+	for i, g := range d.grants {
+		g.record, g.revision = d.records[i], int64(result.Revision)
+		m.o.Log.Emit(event.GrantsReturned, slog.String(event.KeyBudget, g.account), slog.Int64("spent", g.spent))
 	}
 	return nil
 }
