--- a/internal/escrow/holders.go
+++ b/internal/escrow/holders.go
@@ -60,7 +60,7 @@
 	HeldElsewhere
 	// InDoubt: the rest of the budget may have been spent by routers that died.
 	InDoubt
-	// Exhausted: the rest of the budget does not cover the request.
+	// Exhausted: the budget does not cover the request even if all unspent tokens are returned.
 	Exhausted
 )
 
