--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -14,15 +14,16 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Pace of this router's leased entry. A renewal costs a tenth of a call.
+// Lease of this router's entry. A renewal costs a tenth of any other call to the store.
 const (
-	// entryLeaseTTL is how long callers are still sent to a router that died.
+	// entryLeaseTTL bounds how long callers are directed to a router that crashed.
 	entryLeaseTTL      = 2500 * time.Millisecond
 	entryRenewInterval = 900 * time.Millisecond
 	storeCallTimeout   = 500 * time.Millisecond
 )
 
-// maintainEntry keeps this router's entry in the store while it takes callers.
+// maintainEntry keeps this router's entry in the store from the time it has routing data until
+// it begins to stop.
 func (n *Node) maintainEntry(ctx context.Context) {
 	var lease store.LeaseID
 	for {
@@ -44,7 +45,8 @@
 	}
 }
 
-// registerPollInterval is how often a starting router looks whether it may enter.
+// registerPollInterval is how often a starting router checks whether it has routing data and
+// can register.
 const registerPollInterval = 50 * time.Millisecond
 
 func (n *Node) entryInterval(lease store.LeaseID) time.Duration {
@@ -54,7 +56,7 @@
 	return entryRenewInterval
 }
 
-// register writes the entry under a new lease. It returns 0 if that failed.
+// register writes the entry under a new lease. It returns 0 on failure.
 func (n *Node) register(ctx context.Context) store.LeaseID {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
@@ -66,7 +68,7 @@
 	value, err := json.Marshal(MemberRecord{Address: n.settings.CallerAddr, Peer: n.settings.PeerAddr, Domain: n.settings.FailureDomain,
 		Capacity: n.settings.Capacity})
 	if err != nil {
-		panic(err) // two strings always encode
+		panic(err) // strings and a finite number always encode
 	}
 	put := store.Put{Key: MemberPrefix + n.settings.VM, Value: value, Lease: lease}
 	if _, err := n.env.Store.Commit(ctx, store.Txn{Puts: []store.Put{put}}); err != nil {
@@ -77,7 +79,8 @@
 	return lease
 }
 
-// renew extends the lease. It returns 0 if the lease is gone: only a new entry helps.
+// renew extends the lease. It returns 0 if the lease is gone, in which case the router must
+// register again.
 func (n *Node) renew(ctx context.Context, lease store.LeaseID) store.LeaseID {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
@@ -86,10 +89,10 @@
 		n.log.Emit(event.LeaseLost, slog.Int64("lease", int64(lease)), slog.Any(event.KeyCause, err))
 		return 0
 	}
-	return lease // another failure is the store's; its followers log that
+	return lease // the followers log other store failures
 }
 
-// deregister removes the entry, so that no caller is sent here any more.
+// deregister ends the lease, which removes the entry, so that no more callers are directed here.
 func (n *Node) deregister(lease store.LeaseID) {
 	if lease == 0 {
 		return
@@ -101,22 +104,23 @@
 	}
 }
 
-// Reports of contents that break servers.
+// Reports of quarantined requests, which crash the servers that run them.
 const (
-	// maxPendingReports bounds what waits to be written.
+	// maxPendingReports bounds the queue of reports to write to the store.
 	maxPendingReports = 64
-	// quarantineReportTTL is how long the other routers keep a report: as long as they
-	// remember a content.
+	// quarantineReportTTL is how long a report stays in the store. It equals the time for which
+	// a router keeps a request in its own quarantine.
 	quarantineReportTTL = 5 * time.Minute
 )
 
-// reportQuarantined tells the other routers of a content. It never blocks; a reportQuarantined that
-// doesn't fit is left out, and each router still finds the content out by itself.
-func (n *Node) reportQuarantined(content uint64) {
+// reportQuarantined queues a report to the other routers that requests with this content hash
+// crash servers. It never blocks: if the queue is full the report is dropped, and each router
+// has to detect the request by itself.
+func (n *Node) reportQuarantined(hash uint64) {
 	select {
-	case n.quarantineReports <- content:
+	case n.quarantineReports <- hash:
 	default:
-		n.log.Emit(event.ReportDropped, slog.Uint64("content", content))
+		n.log.Emit(event.ReportDropped, slog.Uint64("content", hash))
 	}
 }
 
@@ -125,33 +129,34 @@
 		select {
 		case <-ctx.Done():
 			return
-		case content := <-n.quarantineReports:
-			n.publishQuarantineReport(ctx, content)
+		case hash := <-n.quarantineReports:
+			n.publishQuarantineReport(ctx, hash)
 		}
 	}
 }
 
-func (n *Node) publishQuarantineReport(ctx context.Context, content uint64) {
+func (n *Node) publishQuarantineReport(ctx context.Context, hash uint64) {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	lease, err := n.env.Store.Grant(ctx, quarantineReportTTL)
 	if err == nil {
-		key := quarantinePrefix + strconv.FormatUint(content, 16)
+		key := quarantinePrefix + strconv.FormatUint(hash, 16)
 		_, err = n.env.Store.Commit(ctx, store.Txn{Puts: []store.Put{{Key: key, Value: []byte(n.settings.VM), Lease: lease}}})
 	}
 	if err != nil {
-		n.log.Emit(event.ReportDropped, slog.Uint64("content", content), slog.Any(event.KeyCause, err))
+		n.log.Emit(event.ReportDropped, slog.Uint64("content", hash), slog.Any(event.KeyCause, err))
 	}
 }
 
-// applyQuarantineReport takes another router's report; it says whether the key is one.
+// applyQuarantineReport quarantines the request of another router's report. It returns whether
+// the key is that of a report.
 func (n *Node) applyQuarantineReport(key string) bool {
-	hash, found := strings.CutPrefix(key, quarantinePrefix)
+	hexHash, found := strings.CutPrefix(key, quarantinePrefix)
 	if !found {
 		return false
 	}
-	if content, err := strconv.ParseUint(hash, 16, 64); err == nil {
-		n.quarantine.Insert(content)
+	if hash, err := strconv.ParseUint(hexHash, 16, 64); err == nil {
+		n.quarantine.Insert(hash)
 	}
 	return true
 }
--- a/internal/node/bootstrap.go
+++ b/internal/node/bootstrap.go
@@ -9,16 +9,16 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Pace of a start while the store is away.
+// Timing of a start while the store is unreachable.
 const (
-	// bootstrapDelay leaves the store its time: it is the better source.
+	// bootstrapDelay gives the store, which has the latest state, time to answer first.
 	bootstrapDelay    = 300 * time.Millisecond
 	bootstrapInterval = 500 * time.Millisecond
 )
 
-// bootstrap learns configuration, backend servers and routers from another router,
-// if the store can't be reached at the start. Without it a router that starts in an
-// outage refuses everything until the outage ends.
+// bootstrap fetches the configuration, the backend servers and the routers from another router
+// if the store is unreachable at startup. Otherwise a router that starts during an outage would
+// refuse all requests until the outage ends.
 func (n *Node) bootstrap(ctx context.Context) {
 	pause := bootstrapDelay
 	for {
@@ -39,11 +39,12 @@
 	}
 }
 
-// bootstrapFrom takes over what a router knows; false if it knows nothing either.
+// bootstrapFrom loads the state of the router at address. It returns false if that router
+// cannot be reached or lacks a configuration or backend servers.
 func (n *Node) bootstrapFrom(ctx context.Context, address string) bool {
 	known, err := n.peers.Known(ctx, address)
 	if err != nil || len(known.Config) == 0 || len(known.Servers) == 0 {
-		return false // the next seed, or the next round
+		return false // the next seed is tried, or the same ones again in the next round
 	}
 	(&configSink{node: n}).Reset(known.Config, store.Silence{})
 	n.registry.Seed(known.Servers)
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -14,7 +14,8 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// startBackgroundTasks starts what keeps this router's knowledge and its own entry fresh.
+// startBackgroundTasks starts the tasks that keep this router's state and its own entry in the
+// store up to date.
 func (n *Node) startBackgroundTasks(ctx context.Context, tasks *conc.WaitGroup) {
 	n.startFollowers(ctx, tasks)
 	tasks.Go(func() { n.logStoreCalls(ctx) })
@@ -27,15 +28,16 @@
 	tasks.Go(func() { n.publishLimits(ctx) })
 }
 
-// startFollowers starts the followers of configuration, backend servers and routers.
+// startFollowers starts the followers of the configuration, the backend servers and the fleet.
 func (n *Node) startFollowers(ctx context.Context, tasks *conc.WaitGroup) {
 	for _, f := range n.followers(&relay{node: n, wait: relayWatchWait}) {
 		tasks.Go(func() { f.Run(ctx) })
 	}
 }
 
-// followers are those of configuration, backend servers and routers, with what other
-// routers can tell.
+// followers returns the followers of the configuration, the backend servers and the fleet, which
+// read from other routers through r. They share a gate, so that failed calls to the store are
+// spaced over all of them.
 func (n *Node) followers(r store.Relay) []*store.Follower {
 	followers := []*store.Follower{n.configFollower(), n.serversFollower(), n.fleetFollower()}
 	gate := &store.Gate{}
@@ -55,9 +57,9 @@
 
 func (n *Node) serversFollower() *store.Follower {
 	drain := max(n.settings.DrainTime, minDrain)
-	fraction := func(share float64) time.Duration { return time.Duration(share * float64(drain)) }
+	scale := func(fraction float64) time.Duration { return time.Duration(fraction * float64(drain)) }
 	return &store.Follower{Prefix: n.env.ServersPrefix, Sink: n.registry,
-		Wait: fraction(serversWatchWaitFraction), Pause: fraction(serversWatchPauseFraction), CheckAfter: fraction(serversCheckAfterFraction),
+		Wait: scale(serversWatchWaitFraction), Pause: scale(serversWatchPauseFraction), CheckAfter: scale(serversCheckAfterFraction),
 		Patience: watchMargin, Burst: serversBurst}
 }
 
@@ -66,7 +68,8 @@
 		Wait: fleetWatchWait, Pause: fleetWatchPause, CheckAfter: fleetCheckAfter, Patience: watchMargin}
 }
 
-// logSourceChange logs where a follower learns from, at each change.
+// logSourceChange returns a store.Follower.SourceChanged callback that logs whether the follower
+// of prefix now reads from another router or from the store.
 func (n *Node) logSourceChange(prefix string) func(relayed bool) {
 	return func(relayed bool) {
 		n.metrics.SetRelayed(prefix, relayed)
@@ -74,7 +77,8 @@
 	}
 }
 
-// logStaleCheck logs that what is known got old, and is asked for beside the call under way.
+// logStaleCheck returns a store.Follower callback that logs that the data under prefix is stale
+// and is checked by an extra call beside the one in progress.
 func (n *Node) logStaleCheck(prefix string) func(age time.Duration, relayed, failing bool) {
 	return func(age time.Duration, relayed, failing bool) {
 		n.metrics.CountStale(prefix)
@@ -83,7 +87,7 @@
 	}
 }
 
-// configSink takes the operator's configuration.
+// configSink applies the operator's configuration and evacuation orders.
 type configSink struct {
 	node *Node
 }
@@ -108,7 +112,8 @@
 	s.node.evacuated.Apply(events)
 }
 
-// update puts a version in force, whole or not at all. Versions never go back.
+// update puts the configuration in force if it is valid as a whole and newer than the current
+// one.
 func (s *configSink) update(item store.Item) {
 	n := s.node
 	if !n.env.IsConfig(item) {
@@ -129,8 +134,8 @@
 	n.log.Emit(event.ConfigInForce, slog.Int64("config", p.Version), slog.Int64("revision", int64(item.Revision)))
 }
 
-// fleetSink takes the fleet's own records: routers, quarantined contents and limits of
-// backend servers.
+// fleetSink applies the records that routers write for each other: their entries, reports of
+// quarantined requests and rate limits of backend servers.
 type fleetSink struct {
 	node *Node
 }
@@ -168,7 +173,7 @@
 	Address string `json:"address"`
 	Peer    string `json:"peer"`
 	Domain  string `json:"failure_domain"`
-	// Capacity is in cores of work; 0: not stated.
+	// Capacity is the load that the VM can carry, in CPU cores; 0 if unknown.
 	Capacity float64 `json:"capacity"`
 }
 
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -22,7 +22,7 @@
 	firstByte    prometheus.Histogram
 	total        prometheus.Histogram
 	refused      *prometheus.CounterVec
-	repeated     *prometheus.CounterVec
+	retried      *prometheus.CounterVec
 	BackendDials prometheus.Counter
 	storeCalls   *prometheus.CounterVec
 	relayed      *prometheus.GaugeVec
@@ -40,7 +40,7 @@
 		firstByte:    prometheus.NewHistogram(prometheus.HistogramOpts{Name: "chicory_first_byte_seconds", Help: "From arrival to the answer's first byte.", Buckets: buckets}),
 		total:        prometheus.NewHistogram(prometheus.HistogramOpts{Name: "chicory_answer_seconds", Help: "From arrival to the answer's end.", Buckets: buckets}),
 		refused:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_refused_total", Help: "Requests without a backend server's whole answer, by cause."}, []string{"cause"}),
-		repeated:     prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_repeated_total", Help: "Requests sent once more, by reason."}, []string{"why"}),
+		retried:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_repeated_total", Help: "Requests sent once more, by reason."}, []string{"why"}),
 		BackendDials: prometheus.NewCounter(prometheus.CounterOpts{Name: "chicory_backend_dials_total", Help: "Connections opened to backend servers."}),
 	}
 	m.storeCalls = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_store_calls_total",
@@ -50,7 +50,7 @@
 	m.stale = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "chicory_knowledge_old_total",
 		Help: "Times that what lies under the prefix was not confirmed in time."}, []string{"prefix"})
 	m.recent = make(map[string]int)
-	m.registry.MustRegister(m.firstByte, m.total, m.refused, m.repeated, m.BackendDials, m.storeCalls, m.relayed, m.stale)
+	m.registry.MustRegister(m.firstByte, m.total, m.refused, m.retried, m.BackendDials, m.storeCalls, m.relayed, m.stale)
 	return m
 }
 
@@ -72,8 +72,8 @@
 }
 
 // Retried implements forward.Metrics.
-func (m *Metrics) Retried(why string) {
-	m.repeated.WithLabelValues(why).Inc()
+func (m *Metrics) Retried(reason string) {
+	m.retried.WithLabelValues(reason).Inc()
 }
 
 // Outcomes of calls to the store.
--- a/internal/node/warm.go
+++ b/internal/node/warm.go
@@ -34,29 +34,29 @@
 }
 
 // confirm takes that the list is known as it was at a moment.
-func (l *membership) confirm(asOf time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.asOf = asOf
+func (m *membership) confirm(asOf time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.asOf = asOf
 }
 
 // setListed takes whether the own entry is in the list.
-func (l *membership) setListed(listed bool, now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (m *membership) setListed(listed bool, now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	switch {
 	case !listed:
-		l.listedSince = time.Time{}
-	case l.listedSince.IsZero():
-		l.listedSince = now
+		m.listedSince = time.Time{}
+	case m.listedSince.IsZero():
+		m.listedSince = now
 	}
 }
 
 // stable says whether all other routers know this one, and it them.
-func (l *membership) stable(now time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return !l.listedSince.IsZero() && now.Sub(l.listedSince) >= minListedTime && now.Sub(l.asOf) <= maxListAge
+func (m *membership) stable(now time.Time) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return !m.listedSince.IsZero() && now.Sub(m.listedSince) >= minListedTime && now.Sub(m.asOf) <= maxListAge
 }
 
 func (n *Node) updateMembership() {
@@ -74,12 +74,12 @@
 
 // rankFor is this router's rank among all that send to a server that bears few requests, by
 // the server's start.
-func (n *Node) rankFor(start string) pacing.SenderRank {
+func (n *Node) rankFor(incarnation string) pacing.SenderRank {
 	if n.stopping.Load() || !n.membership.stable(n.now()) {
 		return pacing.SenderRank{}
 	}
 	members, version := n.members.Snapshot()
-	return n.serverRanks.get(fleetState{version: version}, start, func() pacing.SenderRank { return n.ownRank(members, "sends to "+start) })
+	return n.serverRanks.get(fleetState{version: version}, incarnation, func() pacing.SenderRank { return n.ownRank(members, "sends to "+incarnation) })
 }
 
 // ownRank works out this router's rank for a key.
