--- a/internal/node/capacity_test.go
+++ b/internal/node/capacity_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// Guards against homes on small routers, and accounts of a lost home that scatter.
+// Guards against small routers that are home of many accounts, and against accounts that move to
+// a router other than their standby when their home is lost.
 func TestHomesAreWeightedByCapacity(t *testing.T) {
 	c := qt.New(t)
 	n := New(&Settings{VM: "vm-0", PeerAddr: "peer-0", Capacity: 0.04}, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
@@ -48,7 +49,7 @@
 			standbys[account] = standby
 		}
 	}
-	c.Assert(atLarge > 180 && atLarge < 230, qt.IsTrue, qt.Commentf("%d of 300 where 0.8 of 1.16 is", atLarge))
+	c.Assert(atLarge > 180 && atLarge < 230, qt.IsTrue, qt.Commentf("%d of 300 accounts at the router with 0.8 of 1.16 cores", atLarge))
 	n.members = fleet.NewMembers(decodeMember, event.Discard(), nil)
 	n.members.Reset(append(items[:5:5], items[6:]...), store.Silence{})
 	for account, standby := range standbys {
@@ -56,7 +57,8 @@
 	}
 }
 
-// newUniformFleet is a router that knows so many alike, itself among them, and their entries.
+// newUniformFleet returns a router that knows a fleet of equal routers, itself included, and the
+// fleet's entries.
 func newUniformFleet(routers int) (*Node, []store.Item) {
 	n := New(&Settings{VM: "vm-0", PeerAddr: "peer-0", Capacity: 0.4}, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
 	var items []store.Item
@@ -68,7 +70,7 @@
 	return n, items
 }
 
-// Guards against requests for tokens to a router that has left the list.
+// Guards against requests for tokens to a router that has left the fleet.
 func TestHoldersFollowMembership(t *testing.T) {
 	c := qt.New(t)
 	n, items := newUniformFleet(10)
@@ -86,17 +88,18 @@
 	}
 	n.stopping.Store(true)
 	for i := range 20 {
-		c.Assert(n.homeAddress(fmt.Sprint("account-", i)), qt.Not(qt.Equals), "", qt.Commentf("a router that stops is home of nothing"))
+		c.Assert(n.homeAddress(fmt.Sprint("account-", i)), qt.Not(qt.Equals), "", qt.Commentf("a stopping router is not a home"))
 	}
 }
 
-// homeAndStandby are an account's home and the standby that holds when the home can't.
+// homeAndStandby returns an account's home and the standby that takes over from it.
 func homeAndStandby(n *Node, account string) (home, standby string) {
 	holders := n.holderAddresses(account)
 	return holders[0], holders[1]
 }
 
-// Guards against ledgers that grow with the accounts, and grants that lie at two routers.
+// Guards against a number of ledgers that grows with the accounts in a large fleet, and against
+// grants of one account at two routers after its home is lost.
 func TestLargeFleetSharesFewHomes(t *testing.T) {
 	c := qt.New(t)
 	n, items := newUniformFleet(80)
@@ -118,7 +121,7 @@
 	c.Assert(n.homeAddress("account-1"), qt.Equals, standby)
 }
 
-// Guards against small routers whose links are full with what they pass on to followers.
+// Guards against small routers whose links are saturated by relaying to followers.
 func TestSmallRoutersAreNotStoreReaders(t *testing.T) {
 	for round := range 50 {
 		var members []fleet.Member
@@ -136,7 +139,7 @@
 	}
 }
 
-// Where all VMs are equal each may read for others, one of them for 32.
+// If all VMs are equal any of them can become a store reader; there is one per 32 routers.
 func TestEqualRoutersBecomeStoreReadersByRank(t *testing.T) {
 	used := map[string]bool{}
 	for round := range 50 {
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -180,10 +180,10 @@
 func decodeMember(item store.Item) (fleet.Member, error) {
 	record := MemberRecord{}
 	if err := json.Unmarshal(item.Value, &record); err != nil {
-		return fleet.Member{}, errors.Wrap(err, "router's entry")
+		return fleet.Member{}, errors.Wrap(err, "decode router entry")
 	}
 	if record.Address == "" {
-		return fleet.Member{}, errors.New("router's entry has no address")
+		return fleet.Member{}, errors.New("router entry has no address")
 	}
 	return fleet.Member{Name: item.Key[len(MemberPrefix):], Address: record.Address, PeerAddress: record.Peer, Domain: record.Domain,
 		Capacity: record.Capacity}, nil
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -22,42 +22,43 @@
 	"chicorytiller.example/chicorytiller/internal/store/memstore"
 )
 
-// These tests run on a clock that jumps from one timer to the next.
+// These tests run on the fake clock of package synctest.
 
-// Bounds that the routers are held to, and the moments at which something is changed.
+// Bounds that the tests check, and the times at which they inject faults.
 const (
-	drain        = 2 * time.Second // a leaving server serves for so long
-	maxConfigAge = 2 * time.Second // a configuration must be in force after so long
-	maxFleetAge  = 3 * time.Second // what a router says must be known to all after so long
+	drain        = 2 * time.Second // how long a leaving server keeps serving
+	maxConfigAge = 2 * time.Second // within this time a new configuration must be in force
+	maxFleetAge  = 3 * time.Second // within this time a router's record must reach all others
 	defaultRTT   = 5 * time.Millisecond
-	recoveryTime = 3 * time.Second // a router that came back from a cut is held to the bounds from then on
+	recoveryTime = 3 * time.Second // the bounds apply again this long after a partition
 	phaseStep    = 100 * time.Millisecond
 	phaseCount   = 24
 	faultDelay   = 4 * time.Second
 )
 
-// faultyStore is the store behind one router's link, whose faults the test sets. A call
-// that gets no answer waits until its caller gives up.
+// faultyStore is the store as seen over one router's link, with faults that the test injects. A
+// call that gets no answer blocks until its context ends.
 type faultyStore struct {
 	*memstore.Store
 	mu          sync.Mutex
 	partitioned bool
-	watchesHang bool          // watches are not answered: their connections fell silent
-	rtt         time.Duration // of a call there and back; 0: roundTrip
-	readsHang   bool          // what a read answers is too long to get through in time
+	watchesHang bool          // watches get no answer, as if their connections were dead
+	rtt         time.Duration // round-trip time if longer than defaultRTT
+	readsHang   bool          // the response to a read is too long for the link
 	callCount   int
 }
 
-func (s *faultyStore) set(change func()) {
+func (s *faultyStore) set(update func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change()
+	update()
 }
 
-// send waits for the round trip, or for ever if there is no path at its start.
+// send simulates the way of a request to the store. It blocks until ctx ends if the request is
+// lost.
 func (s *faultyStore) send(ctx context.Context, watch bool) error {
 	s.mu.Lock()
-	trip := max(s.rtt, defaultRTT)
+	rtt := max(s.rtt, defaultRTT)
 	lost := s.partitioned || watch && s.watchesHang || !watch && s.readsHang
 	s.mu.Unlock()
 	if lost {
@@ -67,7 +68,7 @@
 	select {
 	case <-ctx.Done():
 		return store.ErrOutcomeUnknown
-	case <-time.After(trip / 2):
+	case <-time.After(rtt / 2):
 		return nil
 	}
 }
@@ -106,16 +107,16 @@
 	return changes, s.reply(ctx)
 }
 
-// connect makes a connection. Its first packet is sent again after one second, and then
-// after twice the time before.
+// connect simulates opening a TCP connection: the first packet is retransmitted after one
+// second, then with exponential backoff.
 func (s *faultyStore) connect(ctx context.Context) error {
-	for again := time.Second; ; again *= 2 {
+	for retransmitAfter := time.Second; ; retransmitAfter *= 2 {
 		s.mu.Lock()
-		trip, lost := max(s.rtt, defaultRTT), s.partitioned
+		rtt, lost := max(s.rtt, defaultRTT), s.partitioned
 		s.mu.Unlock()
-		wait := trip
+		wait := rtt
 		if lost {
-			wait = again
+			wait = retransmitAfter
 		}
 		select {
 		case <-ctx.Done():
@@ -129,15 +130,15 @@
 	}
 }
 
-// reply is the way of an answer.
+// reply simulates the way of a response back from the store.
 func (s *faultyStore) reply(ctx context.Context) error {
 	s.mu.Lock()
-	trip := max(s.rtt, defaultRTT)
+	rtt := max(s.rtt, defaultRTT)
 	s.mu.Unlock()
 	select {
 	case <-ctx.Done():
 		return store.ErrOutcomeUnknown
-	case <-time.After(trip / 2):
+	case <-time.After(rtt / 2):
 		return nil
 	}
 }
@@ -154,12 +155,12 @@
 	return changes, s.reply(ctx)
 }
 
-// unusedRelay is the relay of a router that follows the store itself.
+// unusedRelay is the relay of a store reader, which follows the store itself.
 type unusedRelay struct{ store.Relay }
 
 func (unusedRelay) Used() bool { return false }
 
-// silentRelay is the relay of a router that is cut off from the one it follows.
+// silentRelay is the relay of a router that cannot reach the store reader that it follows.
 type silentRelay struct{}
 
 func (silentRelay) Used() bool { return true }
@@ -172,7 +173,7 @@
 	return store.Changes{}, awaitCallTimeout(ctx)
 }
 
-// relayWithoutFeed is the relay of a router whose reader follows nothing itself.
+// relayWithoutFeed is the relay of a router whose store reader has no feed.
 type relayWithoutFeed struct{}
 
 func (relayWithoutFeed) Used() bool { return true }
@@ -185,7 +186,7 @@
 	return store.Changes{}, store.ErrNoFeed
 }
 
-// awaitCallTimeout is a call to another router that runs out of time.
+// awaitCallTimeout simulates a call to another router that times out.
 func awaitCallTimeout(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -194,7 +195,7 @@
 	return store.ErrNoFeed
 }
 
-// logBuffer keeps a log.
+// logBuffer is an io.Writer that is safe for concurrent use.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -212,7 +213,7 @@
 	return l.buf.String()
 }
 
-// followerTest is one router that follows a store with two servers and a configuration.
+// followerTest holds one router that follows a store with a configuration and two servers.
 type followerTest struct {
 	*qt.C
 	store *faultyStore
@@ -220,7 +221,7 @@
 	logs  *logBuffer
 }
 
-// runFollowerTest runs a test beside a router's followers.
+// runFollowerTest runs test in a synctest bubble while the followers of a router run.
 func runFollowerTest(t *testing.T, relay store.Relay, test func(w *followerTest)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &followerTest{C: qt.New(t), store: &faultyStore{Store: memstore.New(nil)}, logs: &logBuffer{}}
@@ -256,7 +257,7 @@
 	w.store.Put("servers/"+id, value)
 }
 
-// inUse says whether a server may get requests.
+// inUse reports whether a server may get requests.
 func (w *followerTest) inUse(id string) bool {
 	for _, s := range w.node.registry.View().ByService["engines"] {
 		if s.ID == id {
@@ -266,7 +267,7 @@
 	return false
 }
 
-// forEachPhase plays a test with a moment that falls on each part of the followers' cycles.
+// forEachPhase runs a test once for each of several offsets into the followers' polling cycles.
 func forEachPhase(t *testing.T, test func(t *testing.T, phase time.Duration)) {
 	for i := range phaseCount {
 		phase := time.Duration(i) * phaseStep
@@ -274,36 +275,38 @@
 	}
 }
 
-// Guards against requests to a server that leaves right after the end of a router's cut from the store.
+// Guards against requests to a server that leaves shortly after the end of a partition between
+// router and store.
 func TestServerLeavingAfterPartitionIsRemovedInTime(t *testing.T) {
-	const leavesAfter = 900 * time.Millisecond
+	const leaveDelay = 900 * time.Millisecond
 	forEachPhase(t, func(t *testing.T, phase time.Duration) {
 		runFollowerTest(t, unusedRelay{}, func(w *followerTest) {
 			w.store.set(func() { w.store.partitioned = true })
 			time.Sleep(8*time.Second + phase)
 			w.store.set(func() { w.store.partitioned = false })
-			time.Sleep(leavesAfter)
+			time.Sleep(leaveDelay)
 			w.store.Remove("servers/a")
-			time.Sleep(max(drain, recoveryTime-leavesAfter))
+			time.Sleep(max(drain, recoveryTime-leaveDelay))
 			w.Assert(w.inUse("a"), qt.IsFalse)
 			w.Assert(w.inUse("b"), qt.IsTrue)
 		})
 	})
 }
 
-// Guards against requests to a server that left during a cut: silence of old connections proves no outage.
+// Guards against requests to a server that left during a partition. Connections from before the
+// partition stay dead for some time; the router must not take that for an outage of the store.
 func TestServerThatLeftDuringPartitionIsRemovedInTime(t *testing.T) {
 	const (
-		leavesAfter    = 2 * time.Second
+		leaveDelay     = 2 * time.Second
 		retransmission = 1500 * time.Millisecond
 	)
-	for name, others := range map[string]store.Relay{"reader": unusedRelay{}, "follower": silentRelay{}} {
-		for link, trip := range map[string]time.Duration{"short": defaultRTT, "long": 400 * time.Millisecond} {
+	for name, relay := range map[string]store.Relay{"reader": unusedRelay{}, "follower": silentRelay{}} {
+		for link, rtt := range map[string]time.Duration{"short": defaultRTT, "long": 400 * time.Millisecond} {
 			t.Run(name+"/"+link, func(t *testing.T) {
 				forEachPhase(t, func(t *testing.T, phase time.Duration) {
-					runFollowerTest(t, others, func(w *followerTest) {
-						w.store.set(func() { w.store.partitioned, w.store.watchesHang, w.store.rtt = true, true, trip })
-						time.Sleep(leavesAfter)
+					runFollowerTest(t, relay, func(w *followerTest) {
+						w.store.set(func() { w.store.partitioned, w.store.watchesHang, w.store.rtt = true, true, rtt })
+						time.Sleep(leaveDelay)
 						w.store.Remove("servers/a")
 						time.Sleep(9*time.Second + phase)
 						w.store.set(func() { w.store.partitioned = false })
@@ -319,24 +322,25 @@
 	}
 }
 
-// Guards against one follower that takes each turn at a store which was away while others know nothing.
+// Guards against starvation: all followers share a gate that spaces the calls to an unreachable
+// store, and one of them could take every turn while the others stay stale.
 func TestAllPrefixesAreUpToDateSoonAfterPartitionOfSlowLink(t *testing.T) {
 	const (
-		trip     = 400 * time.Millisecond
-		spacing  = 800 * time.Millisecond // of calls to a store that is away, at a follower
-		poll     = 50 * time.Millisecond
-		whole    = 2*trip + 2*poll // of a call with its connection
-		allKnown = spacing + 2*(whole+poll)
+		rtt          = 400 * time.Millisecond
+		gateInterval = 800 * time.Millisecond // between calls of a follower to an unreachable store
+		poll         = 50 * time.Millisecond
+		callTime     = 2*rtt + 2*poll // of a call on a new connection
+		updateTime   = gateInterval + 2*(callTime+poll)
 	)
 	forEachPhase(t, func(t *testing.T, phase time.Duration) {
 		runFollowerTest(t, silentRelay{}, func(w *followerTest) {
-			w.store.set(func() { w.store.partitioned, w.store.rtt = true, trip })
+			w.store.set(func() { w.store.partitioned, w.store.rtt = true, rtt })
 			w.putServer("a", true)
 			w.store.Put("config/x", []byte("2"))
 			w.store.Put(MemberPrefix+"vm-2", []byte(`{"address":"127.0.0.1:1"}`))
 			time.Sleep(9*time.Second + phase)
 			w.store.set(func() { w.store.partitioned = false })
-			time.Sleep(allKnown)
+			time.Sleep(updateTime)
 			w.Check(w.inUse("a"), qt.IsFalse)
 			w.Check(w.node.policy.Load().Version, qt.Equals, int64(2))
 			w.Check(w.node.members.List(), qt.HasLen, 1)
@@ -344,23 +348,24 @@
 	})
 }
 
-// Guards against empty services after an outage: servers whose entries lapsed in it are used until they are back.
+// Guards against services without servers after an outage of the store: servers whose entries
+// expired during the outage stay in use until they have had time to register again.
 func TestServersWithEntriesExpiredInOutageStayInUse(t *testing.T) {
 	outages := map[string]func(s *faultyStore, away bool){
-		"cut":     func(s *faultyStore, away bool) { s.set(func() { s.partitioned = away }) },
-		"refuses": func(s *faultyStore, away bool) { s.SetDown(away) },
+		"cut":     func(s *faultyStore, down bool) { s.set(func() { s.partitioned = down }) },
+		"refuses": func(s *faultyStore, down bool) { s.SetDown(down) },
 	}
-	const back = 1900 * time.Millisecond
+	const returnTime = 1900 * time.Millisecond
 	for outage, set := range outages {
-		for name, others := range map[string]store.Relay{"reader": unusedRelay{}, "follower": silentRelay{}} {
+		for name, relay := range map[string]store.Relay{"reader": unusedRelay{}, "follower": silentRelay{}} {
 			t.Run(outage+"/"+name, func(t *testing.T) {
 				forEachPhase(t, func(t *testing.T, phase time.Duration) {
-					runFollowerTest(t, others, func(w *followerTest) {
+					runFollowerTest(t, relay, func(w *followerTest) {
 						set(w.store, true)
 						time.Sleep(8*time.Second + phase)
 						w.store.Remove("servers/a")
 						set(w.store, false)
-						for range back / phaseStep {
+						for range returnTime / phaseStep {
 							time.Sleep(phaseStep)
 							w.Assert(w.inUse("a"), qt.IsTrue)
 						}
@@ -374,12 +379,12 @@
 	}
 }
 
-// Guards against changes that are known late because calls run out of time one after the other.
+// Guards against changes that are seen late because several calls time out one after the other.
 func TestChangesAreSeenInTimeDespiteHangingCalls(t *testing.T) {
-	for name, others := range map[string]store.Relay{"reader": unusedRelay{}, "follower": silentRelay{}} {
+	for name, relay := range map[string]store.Relay{"reader": unusedRelay{}, "follower": silentRelay{}} {
 		t.Run(name, func(t *testing.T) {
 			forEachPhase(t, func(t *testing.T, phase time.Duration) {
-				runFollowerTest(t, others, func(w *followerTest) {
+				runFollowerTest(t, relay, func(w *followerTest) {
 					w.store.set(func() { w.store.watchesHang = true })
 					time.Sleep(phase)
 					w.putServer("a", true)
@@ -398,7 +403,8 @@
 	}
 }
 
-// Guards against checks over a full link that end the calls beside them, or take the store for away.
+// Guards against checks that, over a congested link, cancel the regular calls or report the store
+// as unreachable.
 func TestChangesAreSeenOverSlowLink(t *testing.T) {
 	forEachPhase(t, func(t *testing.T, phase time.Duration) {
 		runFollowerTest(t, unusedRelay{}, func(w *followerTest) {
@@ -410,13 +416,13 @@
 			w.Assert(w.inUse("a"), qt.IsFalse)
 			w.Assert(w.node.policy.Load().Version, qt.Equals, int64(2))
 			time.Sleep(10 * time.Second)
-			unreachable := fmt.Sprintf(`"event":%d,`, event.StoreUnreachable)
-			w.Assert(w.logs.text(), qt.Not(qt.Contains), unreachable)
+			unreachableEvent := fmt.Sprintf(`"event":%d,`, event.StoreUnreachable)
+			w.Assert(w.logs.text(), qt.Not(qt.Contains), unreachableEvent)
 		})
 	})
 }
 
-// Guards against a router that stays with old knowledge while its link is too full for whole reads.
+// Guards against a router that stays stale while its link is too congested for full reads.
 func TestChangesAreSeenWhenOnlyShortResponsesArrive(t *testing.T) {
 	runFollowerTest(t, unusedRelay{}, func(w *followerTest) {
 		w.store.SetDown(true)
@@ -429,49 +435,49 @@
 	})
 }
 
-// calls is how many reads and watches the router has made.
+// calls returns the number of reads and watches so far.
 func (s *faultyStore) calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.callCount
 }
 
-// Guards against calls to the store in health beyond one confirmation of each prefix in its time.
+// Guards against more calls to a healthy store than one watch per prefix and watch cycle.
 func TestFollowersMakeFewCallsInNormalOperation(t *testing.T) {
 	runFollowerTest(t, unusedRelay{}, func(w *followerTest) {
 		before := w.store.calls()
 		time.Sleep(60 * time.Second)
 		calls := w.store.calls() - before
-		const most = 2*(60*10/12+1) + 60*10/23 + 2
-		w.Assert(calls <= most, qt.IsTrue, qt.Commentf("%d calls", calls))
+		const maxCalls = 2*(60*10/12+1) + 60*10/23 + 2
+		w.Assert(calls <= maxCalls, qt.IsTrue, qt.Commentf("%d calls", calls))
 	})
 }
 
-// Guards against paid calls to a store that refuses: one thing at a time is asked for.
+// Guards against paid calls to a store that refuses them: the followers take turns.
 func TestFollowersMakeFewCallsInOutage(t *testing.T) {
 	runFollowerTest(t, unusedRelay{}, func(w *followerTest) {
 		w.store.SetDown(true)
 		before := w.store.calls()
 		time.Sleep(60 * time.Second)
 		calls := w.store.calls() - before
-		const most = 60*10/6 + 10
-		w.Assert(calls <= most, qt.IsTrue, qt.Commentf("%d calls", calls))
+		const maxCalls = 60*10/6 + 10
+		w.Assert(calls <= maxCalls, qt.IsTrue, qt.Commentf("%d calls", calls))
 	})
 }
 
-// Guards against a call for each change of entries that change all the time.
+// Guards against one store call per change when entries change continuously.
 func TestFrequentChangesCauseFewCalls(t *testing.T) {
-	for name, others := range map[string]store.Relay{"reader": unusedRelay{}, "follower": relayWithoutFeed{}} {
+	for name, relay := range map[string]store.Relay{"reader": unusedRelay{}, "follower": relayWithoutFeed{}} {
 		t.Run(name, func(t *testing.T) {
-			runFollowerTest(t, others, func(w *followerTest) {
+			runFollowerTest(t, relay, func(w *followerTest) {
 				before := w.store.calls()
 				for i := range 600 {
 					w.putServer(fmt.Sprint("c", i), false)
 					time.Sleep(100 * time.Millisecond)
 				}
 				calls := w.store.calls() - before
-				const most = 2*(60*10/12+1) + 60*10/23 + 2 + 2*serversBurst
-				w.Assert(calls <= most, qt.IsTrue, qt.Commentf("%d calls", calls))
+				const maxCalls = 2*(60*10/12+1) + 60*10/23 + 2 + 2*serversBurst
+				w.Assert(calls <= maxCalls, qt.IsTrue, qt.Commentf("%d calls", calls))
 				w.Assert(w.inUse("c590"), qt.IsTrue)
 			})
 		})
