--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a refusal whose time to come back is not true.
-func TestRefusedUntilTheTimeThatWasTold(t *testing.T) {
+// Guards against a refusal with a wrong wait: after it the next request must be admitted.
+func TestAdmittedAfterReportedWait(t *testing.T) {
 	now := time.Unix(0, 0)
 	l := New(func() int { return 1 }, func() time.Time { return now })
 	limits := Limits{PerSecond: 10, Burst: 2, Concurrency: 5}
@@ -27,15 +27,15 @@
 	qt.Assert(t, ok, qt.IsTrue)
 }
 
-// Requests that run hold their places until they end.
-func TestConcurrencyIsGivenBack(t *testing.T) {
+// Guards against a concurrency slot that is freed before its request has ended, or never.
+func TestConcurrencyIsReleased(t *testing.T) {
 	l := New(func() int { return 1 }, nil)
 	limits := Limits{PerSecond: 1e6, Burst: 1000, Concurrency: 1}
-	done, _, ok := l.Admit("boatyard", limits)
+	release, _, ok := l.Admit("boatyard", limits)
 	qt.Assert(t, ok, qt.IsTrue)
 	_, _, ok = l.Admit("boatyard", limits)
 	qt.Assert(t, ok, qt.IsFalse)
-	done()
+	release()
 	_, _, ok = l.Admit("boatyard", limits)
 	qt.Assert(t, ok, qt.IsTrue)
 }
@@ -58,8 +58,8 @@
 			}
 			now = start
 		}
-		if most := routers + 2*50*2; admitted > most+routers {
-			t.Fatalf("%d admitted in two seconds, at most %d", admitted, most)
+		if allowed := routers + 2*50*2; admitted > allowed+routers {
+			t.Fatalf("%d admitted in two seconds, at most %d", admitted, allowed)
 		}
 	})
 }
--- a/internal/pacing/fleet_test.go
+++ b/internal/pacing/fleet_test.go
@@ -9,153 +9,159 @@
 
 var testLimits = []float64{0, 0.3, 1.2, 1.6, 5, 20}
 
-// Guards against routers that each keep to a server's limit and overrun it together, at any size of the fleet.
-func TestLimitHoldsOverAllRouters(t *testing.T) {
+// Guards against routers that each keep to a server's limit but exceed it together, whatever the
+// size of the fleet.
+func TestLimitHoldsAcrossRouters(t *testing.T) {
 	for _, routers := range []int{1, 9, 100} {
 		for i, perSecond := range testLimits {
-			w := newWorld(routers, uint64(routers*10+i))
-			w.run(2 * time.Second)
-			w.name(perSecond)
-			w.run(20 * time.Second)
-			w.assertWithin(t, perSecond)
-			late := 0
-			for _, a := range w.got {
-				if a.at.Sub(w.named) >= 10*time.Second {
-					late++
+			sim := newSimulation(routers, uint64(routers*10+i))
+			sim.run(2 * time.Second)
+			sim.setLimit(perSecond)
+			sim.run(20 * time.Second)
+			sim.assertWithinLimit(t, perSecond)
+			admitted := 0
+			for _, a := range sim.arrivals {
+				if a.at.Sub(sim.limitSince) >= 10*time.Second {
+					admitted++
 				}
 			}
-			// Callers come at random, and a place that nobody wants is lost.
-			offered := w.asks * float64(min(routers, senders(perSecond))) / testStep.Seconds()
-			least := 0.5 * 10 * min(perSecond, offered/2)
-			qt.Check(t, float64(late) >= least, qt.IsTrue, qt.Commentf("%d routers, limit %v: %d requests in ten seconds", routers, perSecond, late))
+			// Requests arrive at random, and capacity that is not used in time is lost.
+			offered := sim.sendProbability * float64(min(routers, senders(perSecond))) / testStep.Seconds()
+			minAdmitted := 0.5 * 10 * min(perSecond, offered/2)
+			qt.Check(t, float64(admitted) >= minAdmitted, qt.IsTrue, qt.Commentf("%d routers, limit %v: %d requests in ten seconds", routers, perSecond, admitted))
 		}
 	}
 }
 
-// Guards against a bound that breaks while the senders die, restart and are replaced in series.
-func TestLimitHoldsWhileSendersAreReplaced(t *testing.T) {
+// Guards against exceeding the limit while one sender after the other is killed, replaced and
+// restarted.
+func TestLimitHoldsWhileSendersRestart(t *testing.T) {
 	for _, routers := range []int{9, 100} {
 		for seed, perSecond := range testLimits {
-			w := newWorld(routers, uint64(seed))
-			w.run(time.Second)
-			w.name(perSecond)
-			w.run(6 * time.Second)
+			sim := newSimulation(routers, uint64(seed))
+			sim.run(time.Second)
+			sim.setLimit(perSecond)
+			sim.run(6 * time.Second)
 			for range 15 {
-				first := w.firstInRank()
-				w.kill(first)
-				w.run(time.Duration(w.random.Int64N(int64(1500 * time.Millisecond))))
-				w.back(first)
-				w.run(time.Duration(w.random.Int64N(int64(1500 * time.Millisecond))))
+				sender := sim.firstInRank()
+				sim.kill(sender)
+				sim.run(time.Duration(sim.rng.Int64N(int64(1500 * time.Millisecond))))
+				sim.restart(sender)
+				sim.run(time.Duration(sim.rng.Int64N(int64(1500 * time.Millisecond))))
 			}
-			w.assertWithin(t, perSecond)
+			sim.assertWithinLimit(t, perSecond)
 		}
 	}
 }
 
-// firstInRank is a router that is alive and ahead of the others.
-func (w *world) firstInRank() *simRouter {
-	best, ahead := w.routers[0], len(w.routers)
-	for _, r := range w.routers {
-		if p := w.place(r); r.alive && p.Valid && p.Position < ahead {
-			best, ahead = r, p.Position
+// firstInRank returns the running router with the lowest position.
+func (sim *simulation) firstInRank() *simRouter {
+	best, position := sim.routers[0], len(sim.routers)
+	for _, r := range sim.routers {
+		if rank := sim.senderRank(r); r.alive && rank.Valid && rank.Position < position {
+			best, position = r, rank.Position
 		}
 	}
 	return best
 }
 
-// Guards against a limit that stays in force after its end at routers that send nothing to the server.
-func TestEndOfALimitIsKnownToAll(t *testing.T) {
+// Guards against a limit that stays in force after its end at routers that send nothing to the
+// server.
+func TestLimitEndReachesAllRouters(t *testing.T) {
 	for _, routers := range []int{9, 100} {
-		w := newWorld(routers, 7)
-		w.run(time.Second)
-		w.name(1.2)
-		w.run(12 * time.Second)
-		w.name(-1)
-		w.run(15 * time.Second)
-		for _, r := range w.routers {
+		sim := newSimulation(routers, 7)
+		sim.run(time.Second)
+		sim.setLimit(1.2)
+		sim.run(12 * time.Second)
+		sim.setLimit(-1)
+		sim.run(15 * time.Second)
+		for _, r := range sim.routers {
 			qt.Check(t, r.limits.Count(), qt.Equals, 0)
 		}
-		qt.Check(t, w.users(5*time.Second) > routers/2, qt.IsTrue, qt.Commentf("%d of %d routers send", w.users(5*time.Second), routers))
+		qt.Check(t, sim.activeRouters(5*time.Second) > routers/2, qt.IsTrue, qt.Commentf("%d of %d routers send", sim.activeRouters(5*time.Second), routers))
 	}
 }
 
-// Guards against senders that go on at the rate of a limit that fell meanwhile.
-func TestLimitThatFallsHolds(t *testing.T) {
+// Guards against senders that continue at the old rate after the limit was lowered.
+func TestLoweredLimitHolds(t *testing.T) {
 	for _, routers := range []int{9, 100} {
-		w := newWorld(routers, 11)
-		w.name(20)
-		w.run(10 * time.Second)
-		w.name(0.3)
-		w.run(10 * time.Second)
-		w.assertWithin(t, 0.3)
+		sim := newSimulation(routers, 11)
+		sim.setLimit(20)
+		sim.run(10 * time.Second)
+		sim.setLimit(0.3)
+		sim.run(10 * time.Second)
+		sim.assertWithinLimit(t, 0.3)
 	}
 }
 
-// Guards against a flood when a store comes back that was away while a server named its limit.
-func TestLimitHoldsThroughAnOutage(t *testing.T) {
+// Guards against a burst of requests when the store returns after an outage during which a server
+// announced a limit.
+func TestLimitHoldsThroughStoreOutage(t *testing.T) {
 	for _, routers := range []int{9, 100} {
-		w := newWorld(routers, 13)
-		w.storeDown = true
-		w.name(1.2)
-		w.run(12 * time.Second)
-		w.storeDown = false
-		w.run(30 * time.Second)
-		w.assertWithin(t, 1.2)
-		qt.Check(t, w.users(10*time.Second) > 0, qt.IsTrue)
+		sim := newSimulation(routers, 13)
+		sim.storeDown = true
+		sim.setLimit(1.2)
+		sim.run(12 * time.Second)
+		sim.storeDown = false
+		sim.run(30 * time.Second)
+		sim.assertWithinLimit(t, 1.2)
+		qt.Check(t, sim.activeRouters(10*time.Second) > 0, qt.IsTrue)
 	}
 }
 
-// Guards against a limit whose end nobody hears since its senders have no callers.
-func TestIdleSendersAreReplaced(t *testing.T) {
-	w := newWorld(9, 17)
-	w.name(1.2)
-	w.run(8 * time.Second)
-	for _, r := range w.routers {
-		if place := w.place(r); place.Position < senders(1.2) {
-			r.limiter.SenderRank = func(string) SenderRank { return SenderRank{} } // it never asks
+// Guards against a limit that never ends because its senders get no requests from callers.
+func TestIdleSendersAreRotatedOut(t *testing.T) {
+	sim := newSimulation(9, 17)
+	sim.setLimit(1.2)
+	sim.run(8 * time.Second)
+	for _, r := range sim.routers {
+		if rank := sim.senderRank(r); rank.Position < senders(1.2) {
+			r.limiter.SenderRank = func(string) SenderRank { return SenderRank{} } // sends nothing
 		}
 	}
-	w.name(-1)
-	w.run(refreshInterval + rotationInterval + 10*time.Second)
-	for _, r := range w.routers {
+	sim.setLimit(-1)
+	sim.run(refreshInterval + rotationInterval + 10*time.Second)
+	for _, r := range sim.routers {
 		qt.Check(t, r.limits.Count(), qt.Equals, 0)
 	}
 }
 
-// Guards against writes that grow with the routers that were told, or go on while nothing changes.
-func TestWritesOfALimitDoNotGrowWithTheFleet(t *testing.T) {
+// Guards against record writes that grow with the number of routers that received the limit, or
+// that continue while nothing changes.
+func TestRecordWritesDoNotGrowWithFleet(t *testing.T) {
 	for _, routers := range []int{9, 195} {
-		w := newWorld(routers, 19)
-		w.asks = 0.2
-		w.name(5)
-		w.run(60 * time.Second)
-		const most = 30 + 2*6 // at the begin, and twice each ten seconds of the minute
-		qt.Check(t, len(w.records) <= most, qt.IsTrue, qt.Commentf("%d routers: %d records", routers, len(w.records)))
+		sim := newSimulation(routers, 19)
+		sim.sendProbability = 0.2
+		sim.setLimit(5)
+		sim.run(60 * time.Second)
+		const maxRecords = 30 + 2*6 // 30 at the start, and two per refreshInterval of 10 s within the minute
+		qt.Check(t, len(sim.records) <= maxRecords, qt.IsTrue, qt.Commentf("%d routers: %d records", routers, len(sim.records)))
 	}
 }
 
-// Guards against old and new senders that overrun a limit together while some don't know yet that they are replaced.
-func TestLimitHoldsWhileAllSendersAreReplacedAtOnce(t *testing.T) {
+// Guards against old and new senders that exceed a limit together while the old ones haven't yet
+// learned that they were replaced.
+func TestLimitHoldsWhenAllSendersAreReplaced(t *testing.T) {
 	for _, perSecond := range testLimits {
-		w := newWorld(9, 23)
-		w.asks = 1
-		w.name(perSecond)
-		w.run(12 * time.Second)
-		old := func(r *simRouter) bool { return w.place(r).Position < senders(perSecond) }
-		for _, r := range w.routers {
-			r.lag = 0
-			if old(r) {
-				r.lag = viewOld
+		sim := newSimulation(9, 23)
+		sim.sendProbability = 1
+		sim.setLimit(perSecond)
+		sim.run(12 * time.Second)
+		isSender := func(r *simRouter) bool { return sim.senderRank(r).Position < senders(perSecond) }
+		for _, r := range sim.routers {
+			r.viewLag = 0
+			if isSender(r) {
+				r.viewLag = maxViewLag
 			}
 		}
-		w.list(w.now, func(listed map[int]time.Time) {
-			for _, r := range w.routers {
-				if r.lag > 0 {
+		sim.updateMembers(sim.now, func(listed map[int]time.Time) {
+			for _, r := range sim.routers {
+				if r.viewLag > 0 {
 					delete(listed, r.index)
 				}
 			}
 		})
-		w.run(10 * time.Second)
-		w.assertWithin(t, perSecond)
+		sim.run(10 * time.Second)
+		sim.assertWithinLimit(t, perSecond)
 	}
 }
--- a/internal/pacing/stored_test.go
+++ b/internal/pacing/stored_test.go
@@ -7,8 +7,8 @@
 	"chicorytiller.example/chicorytiller/internal/wireform"
 )
 
-// Guards against a renamed field or key of the stored limits that routers of another
-// version don't find.
+// Guards against renaming a field or key of the stored limits, which routers of another version
+// wouldn't find.
 func TestLimitsKeepTheirStoredForm(t *testing.T) {
 	wireform.Compare(t, "stored.golden", []string{
 		"key " + Record{Incarnation: "server"}.Key(),
--- a/internal/pacing/world_test.go
+++ b/internal/pacing/world_test.go
@@ -15,215 +15,214 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// What a server that names a limit may get: see the world's most.
+// Limits of what a server that announces a rate limit may receive; see maxInWindow.
 const (
-	testWindow = 4 * time.Second
-	testBinds  = 3 * time.Second
-	testTold   = 500 * time.Millisecond
-	testStep   = 10 * time.Millisecond
-	// viewOld is the greatest age of the list of routers at a router that relies on it, and
-	// recordOld that of the records.
-	viewOld = 3 * time.Second
-	// lapse is the time after which a killed router leaves the list.
-	lapse = 2500 * time.Millisecond
-	// listedFor is how long a router is in the list before it relies on its rank.
-	listedFor = 3100 * time.Millisecond
+	testWindow     = 4 * time.Second
+	testBindDelay  = 3 * time.Second
+	testLearnDelay = 500 * time.Millisecond
+	testStep       = 10 * time.Millisecond
+	// maxViewLag is the maximum age of a router's view of the membership and of the records.
+	maxViewLag = 3 * time.Second
+	// memberTTL is the time after which a killed router leaves the membership.
+	memberTTL = 2500 * time.Millisecond
+	// settleTime is how long a router must have been a member before its rank is valid.
+	settleTime = 3100 * time.Millisecond
 )
 
-// world is a fleet of routers before one server, in virtual time. Each knows the list of
-// routers and the records with a delay of its own.
-type world struct {
-	random  *rand.Rand
-	now     time.Time
-	server  *fleet.Server
-	limit   float64 // below zero: none is named
-	named   time.Time
-	routers []*simRouter
-	changes []*change // of the list of routers
-	records []store.Item
-	answers []simAnswer
-	got     []simArrival
-	// asks is the chance that a router wants to send in a step.
-	asks float64
-	// storeDown: no record is written or known.
+// simulation runs a fleet of routers that send to one server, in virtual time. Each router sees
+// the membership and the records with a delay of its own.
+type simulation struct {
+	rng         *rand.Rand
+	now         time.Time
+	server      *fleet.Server
+	limit       float64 // negative: the server announces none
+	limitSince  time.Time
+	routers     []*simRouter
+	memberships []*membership // in the order added; the last one that is effective counts
+	records     []store.Item
+	responses   []simResponse
+	arrivals    []simArrival
+	// sendProbability is the probability that a router has a request to send in a step.
+	sendProbability float64
+	// storeDown: no record is written or delivered, and no rank is valid.
 	storeDown bool
 }
 
-// change is a list of routers from a moment on.
-type change struct {
-	at     time.Time
-	listed map[int]time.Time // since when, by router
-	ahead  map[int]int       // routers before each in rank
+// membership is the set of routers from a point in time on.
+type membership struct {
+	effective time.Time
+	joined    map[int]time.Time // by index of the router
+	position  map[int]int       // in rank, by index of the router
 }
 
-// rank works out who is before whom.
-func (c *change) rank(start string) {
+// computePositions ranks the members for a server.
+func (m *membership) computePositions(incarnation string) {
 	var order []int
-	for i := range c.listed {
+	for i := range m.joined {
 		order = append(order, i)
 	}
-	key := func(i int) uint64 { return xxhash.Sum64String(fmt.Sprint(start, "/", i)) }
+	key := func(i int) uint64 { return xxhash.Sum64String(fmt.Sprint(incarnation, "/", i)) }
 	sort.Slice(order, func(a, b int) bool { return key(order[a]) < key(order[b]) })
-	c.ahead = make(map[int]int)
-	for at, i := range order {
-		c.ahead[i] = at
+	m.position = make(map[int]int)
+	for position, i := range order {
+		m.position[i] = position
 	}
 }
 
 type simRouter struct {
-	index   int
-	alive   bool
-	lag     time.Duration // of what it knows
-	told    time.Time     // zero: it was not
-	learned int           // records known
-	limits  *Limits
-	limiter *Limiter
+	index       int
+	alive       bool
+	viewLag     time.Duration // age of its view
+	informed    time.Time     // when it first received the current limit; zero if it hasn't
+	recordsSeen int           // number of records delivered to it
+	limits      *Limits
+	limiter     *Limiter
 }
 
-type simAnswer struct {
-	at, sent time.Time
-	router   *simRouter
-	life     *Limits // of the process that asked
-	said     fleet.RateLimit
+type simResponse struct {
+	at, sent  time.Time
+	router    *simRouter
+	process   *Limits // identifies the process that sent the request
+	rateLimit fleet.RateLimit
 }
 
 type simArrival struct {
-	at     time.Time
-	router int
-	told   time.Time // when its router was told, as of then
+	at       time.Time
+	router   int
+	informed time.Time // the router's informed when it sent the request
 }
 
-func newWorld(routers int, seed uint64) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, seed)), now: time.Unix(1000, 0), limit: -1, asks: min(0.2, 4/float64(routers)),
+func newSimulation(routers int, seed uint64) *simulation {
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, seed)), now: time.Unix(1000, 0), limit: -1, sendProbability: min(0.2, 4/float64(routers)),
 		server: fleet.NewServer(fleet.Entry{ID: "s", Service: "engines"})}
-	listed := make(map[int]time.Time)
+	joined := make(map[int]time.Time)
 	for i := range routers {
 		r := &simRouter{index: i}
-		w.routers = append(w.routers, r)
-		w.start(r)
-		listed[i] = w.now.Add(-time.Minute)
+		sim.routers = append(sim.routers, r)
+		sim.startRouter(r)
+		joined[i] = sim.now.Add(-time.Minute)
 	}
-	w.addChange(w.now.Add(-time.Minute), listed)
-	return w
+	sim.addMembership(sim.now.Add(-time.Minute), joined)
+	return sim
 }
 
-// start begins a process that knows nothing.
-func (w *world) start(r *simRouter) {
-	clock := func() time.Time { return w.now }
-	r.alive, r.told, r.learned = true, time.Time{}, 0
-	r.lag = time.Duration(w.random.Int64N(int64(viewOld)))
+// startRouter starts a router process with empty state.
+func (sim *simulation) startRouter(r *simRouter) {
+	clock := func() time.Time { return sim.now }
+	r.alive, r.informed, r.recordsSeen = true, time.Time{}, 0
+	r.viewLag = time.Duration(sim.rng.Int64N(int64(maxViewLag)))
 	r.limits = NewLimits(event.Discard(), clock)
 	r.limiter = &Limiter{ColdRate: func(string) float64 { return 0 }, Limits: r.limits, Now: clock,
-		SenderRank: func(string) SenderRank { return w.place(r) }}
+		SenderRank: func(string) SenderRank { return sim.senderRank(r) }}
 }
 
-// list changes who is in the list of routers from a moment on.
-func (w *world) list(at time.Time, edit func(map[int]time.Time)) {
+// updateMembers adds a membership that differs from the latest by edit.
+func (sim *simulation) updateMembers(effective time.Time, edit func(map[int]time.Time)) {
 	listed := make(map[int]time.Time)
-	for i, since := range w.changes[len(w.changes)-1].listed {
+	for i, since := range sim.memberships[len(sim.memberships)-1].joined {
 		listed[i] = since
 	}
 	edit(listed)
-	w.addChange(at, listed)
+	sim.addMembership(effective, listed)
 }
 
-func (w *world) addChange(at time.Time, listed map[int]time.Time) {
-	c := &change{at: at, listed: listed}
-	c.rank(w.server.Incarnation)
-	w.changes = append(w.changes, c)
+func (sim *simulation) addMembership(effective time.Time, joined map[int]time.Time) {
+	m := &membership{effective: effective, joined: joined}
+	m.computePositions(sim.server.Incarnation)
+	sim.memberships = append(sim.memberships, m)
 }
 
-// kill ends a router at once; it leaves the list when its lease ends.
-func (w *world) kill(r *simRouter) {
+// kill stops a router at once. It leaves the membership when its lease expires.
+func (sim *simulation) kill(r *simRouter) {
 	r.alive = false
-	w.list(w.now.Add(lapse), func(listed map[int]time.Time) { delete(listed, r.index) })
+	sim.updateMembers(sim.now.Add(memberTTL), func(listed map[int]time.Time) { delete(listed, r.index) })
 }
 
-// back starts a killed router again.
-func (w *world) back(r *simRouter) {
-	w.start(r)
-	w.list(w.now, func(listed map[int]time.Time) { listed[r.index] = w.now })
+// restart starts a killed router with empty state.
+func (sim *simulation) restart(r *simRouter) {
+	sim.startRouter(r)
+	sim.updateMembers(sim.now, func(listed map[int]time.Time) { listed[r.index] = sim.now })
 }
 
-// place ranks a router by the list that it knows.
-func (w *world) place(r *simRouter) SenderRank {
-	if w.storeDown {
+// senderRank returns a router's rank by its own view of the membership.
+func (sim *simulation) senderRank(r *simRouter) SenderRank {
+	if sim.storeDown {
 		return SenderRank{}
 	}
-	known := w.changes[0]
-	for _, c := range w.changes {
-		if !c.at.After(w.now.Add(-r.lag)) {
-			known = c
+	known := sim.memberships[0]
+	for _, m := range sim.memberships {
+		if !m.effective.After(sim.now.Add(-r.viewLag)) {
+			known = m
 		}
 	}
-	since, listed := known.listed[r.index]
-	if !listed || w.now.Sub(since) < listedFor {
+	since, listed := known.joined[r.index]
+	if !listed || sim.now.Sub(since) < settleTime {
 		return SenderRank{}
 	}
-	return SenderRank{Position: known.ahead[r.index], Total: len(known.listed), Valid: true}
+	return SenderRank{Position: known.position[r.index], Total: len(known.joined), Valid: true}
 }
 
-// name makes the server name a limit from now on; below zero: none.
-func (w *world) name(perSecond float64) {
-	w.limit, w.named = perSecond, w.now
-	for _, r := range w.routers {
-		r.told = time.Time{}
+// setLimit makes the server announce a limit from now on, or none if perSecond is negative.
+func (sim *simulation) setLimit(perSecond float64) {
+	sim.limit, sim.limitSince = perSecond, sim.now
+	for _, r := range sim.routers {
+		r.informed = time.Time{}
 	}
-	w.got = nil
+	sim.arrivals = nil
 }
 
-func (w *world) run(d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(testStep) {
-		w.deliver()
-		for _, r := range w.routers {
+func (sim *simulation) run(d time.Duration) {
+	for end := sim.now.Add(d); sim.now.Before(end); sim.now = sim.now.Add(testStep) {
+		sim.deliverResponses()
+		for _, r := range sim.routers {
 			if !r.alive {
 				continue
 			}
-			w.learn(r)
-			w.write(r)
-			if w.random.Float64() < w.asks {
-				w.send(r)
+			sim.deliverRecords(r)
+			sim.writeRecord(r)
+			if sim.rng.Float64() < sim.sendProbability {
+				sim.send(r)
 			}
 		}
 	}
 }
 
-// send sends one request if the router may.
-func (w *world) send(r *simRouter) {
-	if r.limiter.Paced(w.server) && !r.limiter.TryAcquire(w.server) {
+// send sends one request if the limiter allows it.
+func (sim *simulation) send(r *simRouter) {
+	if r.limiter.Paced(sim.server) && !r.limiter.TryAcquire(sim.server) {
 		return
 	}
-	w.got = append(w.got, simArrival{at: w.now, router: r.index, told: r.told})
-	said := fleet.RateLimit{}
-	if w.limit >= 0 {
-		said = fleet.RateLimit{State: fleet.LimitPresent, PerSecond: w.limit}
+	sim.arrivals = append(sim.arrivals, simArrival{at: sim.now, router: r.index, informed: r.informed})
+	rateLimit := fleet.RateLimit{}
+	if sim.limit >= 0 {
+		rateLimit = fleet.RateLimit{State: fleet.LimitPresent, PerSecond: sim.limit}
 	}
-	takes := time.Duration(w.random.Int64N(int64(600 * time.Millisecond)))
-	w.answers = append(w.answers, simAnswer{at: w.now.Add(takes), sent: w.now, router: r, life: r.limits, said: said})
+	latency := time.Duration(sim.rng.Int64N(int64(600 * time.Millisecond)))
+	sim.responses = append(sim.responses, simResponse{at: sim.now.Add(latency), sent: sim.now, router: r, process: r.limits, rateLimit: rateLimit})
 }
 
-func (w *world) deliver() {
-	rest := w.answers[:0]
-	for _, a := range w.answers {
+func (sim *simulation) deliverResponses() {
+	inFlight := sim.responses[:0]
+	for _, a := range sim.responses {
 		switch {
-		case a.at.After(w.now):
-			rest = append(rest, a)
-		case a.life == a.router.limits && a.router.alive:
-			a.life.ObserveResponse(w.server, a.said, a.sent)
-			if a.said.State == fleet.LimitPresent && !a.sent.Before(w.named) && a.router.told.IsZero() {
-				a.router.told = w.now
+		case a.at.After(sim.now):
+			inFlight = append(inFlight, a)
+		case a.process == a.router.limits && a.router.alive:
+			a.process.ObserveResponse(sim.server, a.rateLimit, a.sent)
+			if a.rateLimit.State == fleet.LimitPresent && !a.sent.Before(sim.limitSince) && a.router.informed.IsZero() {
+				a.router.informed = sim.now
 			}
 		}
 	}
-	w.answers = rest
+	sim.responses = inFlight
 }
 
-// write writes the record that a router has due.
-func (w *world) write(r *simRouter) {
-	if w.storeDown {
+// writeRecord writes the record that is due at a router, if any.
+func (sim *simulation) writeRecord(r *simRouter) {
+	if sim.storeDown {
 		return
 	}
-	record, _ := r.limits.NextWrite(func(string) SenderRank { return w.place(r) })
+	record, _ := r.limits.NextWrite(func(string) SenderRank { return sim.senderRank(r) })
 	if record == nil {
 		return
 	}
@@ -231,51 +230,52 @@
 	if err != nil {
 		panic(err)
 	}
-	w.records = append(w.records, store.Item{Key: record.Key(), Value: value, Revision: store.Revision(w.now.UnixMilli())})
+	sim.records = append(sim.records, store.Item{Key: record.Key(), Value: value, Revision: store.Revision(sim.now.UnixMilli())})
 }
 
-// learn tells a router of the records that are older than its lag.
-func (w *world) learn(r *simRouter) {
-	for ; r.learned < len(w.records); r.learned++ {
-		item := w.records[r.learned]
-		if w.storeDown || time.UnixMilli(int64(item.Revision)).After(w.now.Add(-r.lag)) {
+// deliverRecords applies the records that are older than a router's viewLag.
+func (sim *simulation) deliverRecords(r *simRouter) {
+	for ; r.recordsSeen < len(sim.records); r.recordsSeen++ {
+		item := sim.records[r.recordsSeen]
+		if sim.storeDown || time.UnixMilli(int64(item.Revision)).After(sim.now.Add(-r.viewLag)) {
 			return
 		}
 		r.limits.ApplyRecord(item)
 	}
 }
 
-// most is the most requests in any window that ends when the limit binds or later, of
-// routers that were told half a second before or earlier.
-func (w *world) most() int {
+// maxInWindow returns the maximum number of requests in any testWindow that ends testBindDelay
+// after the limit was set or later. Requests of routers that received the limit less than
+// testLearnDelay before don't count.
+func (sim *simulation) maxInWindow() int {
 	var counted []time.Time
-	for _, a := range w.got {
-		if !a.told.IsZero() && a.at.Sub(a.told) >= testTold {
+	for _, a := range sim.arrivals {
+		if !a.informed.IsZero() && a.at.Sub(a.informed) >= testLearnDelay {
 			counted = append(counted, a.at)
 		}
 	}
-	most := 0
+	highest := 0
 	for i, last := range counted {
-		if last.Before(w.named.Add(testBinds)) {
+		if last.Before(sim.limitSince.Add(testBindDelay)) {
 			continue
 		}
 		first := sort.Search(i, func(j int) bool { return last.Sub(counted[j]) < testWindow })
-		most = max(most, i-first+1)
+		highest = max(highest, i-first+1)
 	}
-	return most
+	return highest
 }
 
-func (w *world) assertWithin(t *testing.T, perSecond float64) {
+func (sim *simulation) assertWithinLimit(t *testing.T, perSecond float64) {
 	t.Helper()
 	allowed := 1.5*perSecond*testWindow.Seconds() + 5
-	qt.Check(t, float64(w.most()) <= allowed, qt.IsTrue, qt.Commentf("limit %v: %d in %v, allowed %v", perSecond, w.most(), testWindow, allowed))
+	qt.Check(t, float64(sim.maxInWindow()) <= allowed, qt.IsTrue, qt.Commentf("limit %v: %d in %v, allowed %v", perSecond, sim.maxInWindow(), testWindow, allowed))
 }
 
-// users are the routers that sent something within the last of a run.
-func (w *world) users(last time.Duration) int {
+// activeRouters returns how many routers sent a request within the last period.
+func (sim *simulation) activeRouters(period time.Duration) int {
 	seen := make(map[int]bool)
-	for _, a := range w.got {
-		if w.now.Sub(a.at) <= last {
+	for _, a := range sim.arrivals {
+		if sim.now.Sub(a.at) <= period {
 			seen[a.router] = true
 		}
 	}
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -74,7 +74,7 @@
 	return true
 }
 
-// window returns a service's window after removing what is older. b.mu must be held.
+// window returns a service's window with expired times removed. b.mu must be held.
 func (b *Budget) window(service string) *window {
 	w := b.services[service]
 	if w == nil {
--- a/internal/retry/quarantine.go
+++ b/internal/retry/quarantine.go
@@ -25,7 +25,7 @@
 	// crashThreshold is the number of crashes after which a request is quarantined. A single
 	// broken connection may be a network fault; a second one for the same content seldom is.
 	crashThreshold = 2
-	// suspectTTL is how long a suspect is kept after its last crash: longer than callers wait
+	// suspectTTL is how long a quarantine lasts after the last crash: longer than callers wait
 	// between attempts.
 	suspectTTL = 5 * time.Minute
 	// maxSuspects bounds the memory used. If many connections break at once, it fills with
@@ -41,8 +41,8 @@
 	return &Quarantine{now: now, suspects: make(map[uint64]*suspect)}
 }
 
-// RecordCrash records that a server crashed while it ran the request, through this router or,
-// as reported by it, another one. It returns the number of crashes so far.
+// RecordCrash records that a server crashed while it ran the request, and returns the number of
+// crashes so far.
 func (q *Quarantine) RecordCrash(hash uint64) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -16,8 +16,9 @@
 
 var limits = Limits{Window: 10 * time.Second, Ratio: 0.2, Extra: 54}
 
-// Guards against repeats beyond the fleet's budget, whatever their times and routers.
-func TestRepeatsOfAllRoutersStayWithinTheLimits(t *testing.T) {
+// Guards against retries beyond the fleet's budget, whatever their timing and distribution over
+// routers.
+func TestRetriesOfAllRoutersStayWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		routers := rapid.IntRange(1, 9).Draw(t, "routers")
@@ -25,7 +26,7 @@
 		for i := range budgets {
 			budgets[i] = NewBudget(limits, routers, func() time.Time { return now })
 		}
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for step := 0; step < 300; step++ {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			b := budgets[rapid.IntRange(0, routers-1).Draw(t, "router")]
@@ -34,12 +35,12 @@
 				requests = append(requests, now)
 			}
 			for b.TryAcquire("engines") {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
-			in := count(repeats, now.Add(-limits.Window), now)
-			most := max(count(requests, now.Add(-limits.Window), now), count(requests, now.Add(-2*limits.Window), now.Add(-limits.Window)))
-			if float64(in) > limits.Ratio*float64(most)+limits.Extra {
-				t.Fatalf("%d repeats for %d requests", in, most)
+			retried := count(retries, now.Add(-limits.Window), now)
+			maxRequests := max(count(requests, now.Add(-limits.Window), now), count(requests, now.Add(-2*limits.Window), now.Add(-limits.Window)))
+			if float64(retried) > limits.Ratio*float64(maxRequests)+limits.Extra {
+				t.Fatalf("%d retries for %d requests", retried, maxRequests)
 			}
 		}
 	})
@@ -55,12 +56,12 @@
 	return n
 }
 
-// Guards against a request that crashes one server after the other.
-func TestContentThatBreaksServersIsHeld(t *testing.T) {
+// Guards against a request that crashes one server after another.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := NewQuarantine(func() time.Time { return now })
 	qt.Assert(t, StartsQuarantine(q.RecordCrash(7)), qt.IsFalse)
-	qt.Assert(t, q.Contains(7), qt.IsFalse, qt.Commentf("one break may be the network's"))
+	qt.Assert(t, q.Contains(7), qt.IsFalse, qt.Commentf("a single crash may be a network fault"))
 	qt.Assert(t, StartsQuarantine(q.RecordCrash(7)), qt.IsTrue)
 	qt.Assert(t, q.Contains(7), qt.IsTrue)
 	qt.Assert(t, q.Contains(8), qt.IsFalse)
@@ -71,11 +72,12 @@
 	qt.Assert(t, q.Contains(9), qt.IsTrue)
 }
 
-// A mass break of connections makes many innocents suspect; the memory is bounded.
+// Guards against unbounded memory when many connections break at once and many harmless requests
+// become suspects.
 func TestSuspectsAreBounded(t *testing.T) {
 	q := NewQuarantine(nil)
-	for content := uint64(0); content < 2*maxSuspects; content++ {
-		q.RecordCrash(content)
+	for hash := uint64(0); hash < 2*maxSuspects; hash++ {
+		q.RecordCrash(hash)
 	}
 	qt.Assert(t, len(q.suspects) <= maxSuspects, qt.IsTrue)
 }
