--- a/internal/escrow/ledger.go
+++ b/internal/escrow/ledger.go
@@ -7,100 +7,104 @@
 	"github.com/pkg/errors"
 )
 
-// A router holds more than it spends in normal times, to ride out an outage of the
-// store. What it holds would be lost with it, so it also keeps a ledger in the
-// store: a ceiling for each account that it doesn't exceed while it is in contact,
-// and a reading of its clocks. Out of contact it may go beyond, but only at a rate that
-// the ledger states. The next process on the same VM knows from that reading how long its
-// predecessor can have been out of contact, and with that how much of the grant it
-// can have spent at most; the rest is free again.
+// To keep serving through an outage of the store, a router is granted more than it
+// normally spends. If it crashed, its whole grant would have to count as spent. To avoid
+// that it also writes a ledger to the store: a spending ceiling per account, which it
+// does not exceed while it is in contact with the store, and a reading of its clocks.
+// Out of contact it may exceed the ceiling, but only at a rate stated in the ledger. From
+// the clock reading, the next process on the same VM knows how long its predecessor can
+// have been out of contact, and thus the most it can have spent of the grant. The rest
+// becomes free again.
 //
-// A predecessor is surely dead when its successor runs: both have the VM's address
-// and listen on the same ports.
+// A predecessor is certainly dead when its successor runs, because both listen on the
+// same ports of the VM's address.
 
 const (
-	// outageGrace is the time since the last contact within which the ceiling holds. It
-	// covers the pause between two ledgers and some lost answers.
+	// outageGrace is the time after the last contact during which the ceiling still
+	// holds. It covers the interval between two ledger writes and a few lost responses.
 	outageGrace = 2 * time.Second
-	// wallClockMargin is how far a VM's time of day may have been moved between two
-	// processes. It matters after a loss of power only: else the steady clock tells.
+	// wallClockMargin is how far a VM's wall clock may have been adjusted between two
+	// processes. It matters only after a reboot; otherwise the monotonic clock is used.
 	wallClockMargin = 2200 * time.Millisecond
-	// confirmedClockMargin is the margin where the store confirms the time of day: the
-	// predecessor's contact lease, which it renewed right after its last write, is
-	// still there.
+	// confirmedClockMargin replaces wallClockMargin where the store confirms the wall
+	// clock: the predecessor's contact lease, renewed right after its last write, has
+	// not expired yet.
 	confirmedClockMargin = 300 * time.Millisecond
-	// contactLeaseTTL bounds what the store confirms: long enough for an outage, a
-	// loss of power right in it, and the restart.
+	// contactLeaseTTL bounds the age that the store can confirm. It is long enough for
+	// an outage, a loss of power during it, and the restart.
 	contactLeaseTTL = 10 * time.Second
-	// maxReadingAge bounds the age of a reading on a steady clock that is believed: a
-	// clock that began anew shows anything.
+	// maxReadingAge is the greatest age accepted from the monotonic clock, since a clock
+	// that was reset can show any value.
 	maxReadingAge = 10 * time.Minute
 )
 
 const (
-	// fullRatePeriod is the time after openAfter in which the outage rate holds in full: what waits
-	// since the beginning of the outage is served then.
+	// fullRatePeriod is the time after outageGrace during which the full outage rate is
+	// allowed, to serve the requests that have waited since the outage began.
 	fullRatePeriod = 1500 * time.Millisecond
-	// lateRateFactor is the part of the rate that holds afterwards, once the allowance's reserve
-	// is used up. Where all routers die late in an outage, all that it allowed counts as
-	// spent, and little is left for who comes afterwards.
+	// lateRateFactor is the fraction of the outage rate that is allowed afterwards, once
+	// the outage reserve is used up. If all routers crash late in an outage, everything
+	// that was allowed counts as spent, so a higher rate would leave little for later
+	// requests.
 	lateRateFactor = 0.45
 )
 
-// Allowance is how much of its grant on one account a router may use.
+// Allowance limits how much of its grant on one account a router may use.
 type Allowance struct {
-	// Ceiling is the most used at the contact and until openAfter later.
+	// Ceiling is the most that may be used until outageGrace after the last contact.
 	Ceiling int64 `json:"ceiling"`
-	// OutageRate is how many tokens a second may be used beyond that, out of contact.
+	// OutageRate is the tokens per second that may be used above the ceiling later on.
 	OutageRate int64 `json:"outage_rate"`
-	// OutageReserve is how much may be used beyond the ceiling at the full outage rate.
+	// OutageReserve is how much may be used above the ceiling at the full outage rate.
 	OutageReserve int64 `json:"reserve"`
 }
 
-// limitAt is the most that may be used when the last contact is so old.
+// limitAt returns the most that may be used at the given time since the last contact.
 func (a Allowance) limitAt(age time.Duration) int64 {
-	open := max(0, age-outageGrace)
-	early := min(open, fullRatePeriod)
-	full := int64(float64(a.OutageRate) * open.Seconds())
-	late := int64(float64(a.OutageRate) * (early.Seconds() + lateRateFactor*(open-early).Seconds()))
+	outage := max(0, age-outageGrace)
+	fullRate := min(outage, fullRatePeriod)
+	full := int64(float64(a.OutageRate) * outage.Seconds())
+	late := int64(float64(a.OutageRate) * (fullRate.Seconds() + lateRateFactor*(outage-fullRate).Seconds()))
 	return a.Ceiling + max(late, min(full, a.OutageReserve))
 }
 
-// elementwiseMin is the lower of each of two allowances: what holds while either may be stored.
+// elementwiseMin returns the lower limit of each kind: what holds while either of two
+// allowances may be the stored one.
 func (a Allowance) elementwiseMin(b Allowance) Allowance {
 	return Allowance{min(a.Ceiling, b.Ceiling), min(a.OutageRate, b.OutageRate), min(a.OutageReserve, b.OutageReserve)}
 }
 
-// ledgerFormat is the version of the stored form. A ledger of another version says
-// nothing, so that all of its grant counts as spent.
+// ledgerFormat is the version of the stored form of a Ledger. A ledger of another version
+// is ignored, so the whole grant counts as spent.
 const ledgerFormat = 2
 
 // ClockReading is a reading of a VM's clocks.
 type ClockReading struct {
-	Boot   string        `json:"boot"`   // differs after a restart of the VM
-	Steady time.Duration `json:"steady"` // since an unknown moment of this boot
+	Boot   string        `json:"boot"`   // ID of the boot; changes when the VM restarts
+	Steady time.Duration `json:"steady"` // monotonic clock, valid within one boot
 	Wall   time.Time     `json:"wall"`
 }
 
-// BoundBasis is what a dead router's spending was bounded by.
+// BoundBasis says what the bound on a dead router's spending is based on.
 type BoundBasis string
 
-// Bounds of a dead router's spending, the tightest first.
+// Bases of a bound, the tightest first.
 const (
-	// BasisSteadyClock: its ledger, whose age the VM's steady clock tells.
+	// BasisSteadyClock is the ledger, with its age taken from the VM's monotonic clock.
 	BasisSteadyClock BoundBasis = "steady_clock"
-	// BasisContactLease: its ledger, whose age the time of day tells; the store confirms it.
+	// BasisContactLease is the ledger, with its age taken from the wall clock and
+	// confirmed by the contact lease.
 	BasisContactLease BoundBasis = "contact_lease"
-	// BasisTimeOfDay: the same, with nothing that confirms it.
+	// BasisTimeOfDay is the ledger, with its age taken from the wall clock alone.
 	BasisTimeOfDay BoundBasis = "time_of_day"
-	// BasisGrant: no ledger of it, or no clock to judge that by. All counts as spent.
+	// BasisGrant is the whole grant: there is no usable ledger or clock.
 	BasisGrant BoundBasis = "grant"
 )
 
-// maxAgeAt is the longest time that can have passed between the reading and now, and what
-// tells it; ByGrant if nothing can be said. leaseAlive says that the lease bound to it
-// still runs.
-func (c ClockReading) maxAgeAt(now ClockReading, leaseAlive bool) (age time.Duration, by BoundBasis) {
+// maxAgeAt returns the longest time that can have passed between the reading and now, and
+// what that is based on; BasisGrant if nothing is known. leaseAlive says whether the
+// contact lease of the reading's process has not expired.
+func (c ClockReading) maxAgeAt(now ClockReading, leaseAlive bool) (age time.Duration, basis BoundBasis) {
 	age = now.Steady - c.Steady
 	if c.Boot == now.Boot && age >= 0 && age < maxReadingAge {
 		return age, BasisSteadyClock
@@ -115,19 +119,19 @@
 	return age + wallClockMargin, BasisTimeOfDay
 }
 
-// Ledger is what one router says of its own spending.
+// Ledger holds the limits that one router has set on its own spending.
 type Ledger struct {
 	Format      int    `json:"format"`
 	Incarnation string `json:"incarnation"`
 	Address     string `json:"address"` // of the VM
-	// Contact is a moment of contact: before this write was sent, or, if the store was
-	// away then, before the last write that was sent while it was not.
+	// Contact is when the router was last in contact: just before this write was sent,
+	// or, if the store was unreachable then, before the last write sent while it was
+	// reachable.
 	Contact ClockReading `json:"contact"`
-	// Allowances is by account.
+	// Allowances is keyed by account.
 	Allowances map[string]Allowance `json:"allowances"`
 }
 
-// DecodeLedger reads a stored ledger.
 func DecodeLedger(data []byte) (Ledger, error) {
 	l := Ledger{}
 	if err := json.Unmarshal(data, &l); err != nil {
@@ -139,7 +143,6 @@
 	return l, nil
 }
 
-// Encode gives the stored form.
 func (l Ledger) Encode() []byte {
 	data, err := json.Marshal(l)
 	if err != nil {
@@ -148,31 +151,31 @@
 	return data
 }
 
-// SpendingBound is how much of a dead incarnation's grant counts as spent, and why. The rest is
-// free again.
+// SpendingBound says how much of a dead incarnation's grant counts as spent, and why. The
+// rest becomes free again.
 type SpendingBound struct {
-	// Max is the tokens that it can have spent at most.
+	// Max is the most tokens that it can have spent.
 	Max   int64
 	Basis BoundBasis
-	// Ceiling is the part of Most that it could use in contact; what is above is for the
+	// Ceiling is the part of Max that it could use in contact. The rest accounts for the
 	// time that it may have been out of contact.
 	Ceiling int64
 	// Age is the longest time that it can have been out of contact.
 	Age time.Duration
 }
 
-// BoundSpending says what a dead incarnation of a VM can have spent of a grant at most, as its
-// successor at the same address may conclude from the ledger. leaseAlive says that the
-// incarnation's contact lease has not run out.
+// BoundSpending returns the most that a dead incarnation can have spent of a grant, as its
+// successor at the same address may conclude from the ledger. leaseAlive says whether the
+// incarnation's contact lease has not expired.
 func (l Ledger) BoundSpending(account, incarnation, address string, granted int64, now ClockReading, leaseAlive bool) SpendingBound {
-	all := SpendingBound{Max: granted, Basis: BasisGrant, Ceiling: granted}
+	wholeGrant := SpendingBound{Max: granted, Basis: BasisGrant, Ceiling: granted}
 	if l.Incarnation != incarnation || l.Address != address {
-		return all
+		return wholeGrant
 	}
-	age, by := l.Contact.maxAgeAt(now, leaseAlive)
-	if by == BasisGrant {
-		return all
+	age, basis := l.Contact.maxAgeAt(now, leaseAlive)
+	if basis == BasisGrant {
+		return wholeGrant
 	}
-	allowed := l.Allowances[account]
-	return SpendingBound{Max: min(granted, allowed.limitAt(age)), Basis: by, Ceiling: min(granted, allowed.Ceiling), Age: age}
+	allowance := l.Allowances[account]
+	return SpendingBound{Max: min(granted, allowance.limitAt(age)), Basis: basis, Ceiling: min(granted, allowance.Ceiling), Age: age}
 }
--- a/internal/escrow/record.go
+++ b/internal/escrow/record.go
@@ -1,12 +1,13 @@
-// Package escrow hands out prepaid tokens: a router spends only out of grants that
-// a durable record per client account counts as given out, so that no schedule of
-// failures can spend more than was paid.
+// Package escrow limits the spending of prepaid tokens across routers. A router spends
+// only from grants that a durable record per client account counts as granted, so that
+// no sequence of failures can spend more than was paid.
 //
-// The record holds, per router incarnation, the total granted to it as an absolute
-// figure. A router is the only writer of its own figure and never spends beyond the
-// last one that it knows to be stored, so the sum of all figures bounds what was
-// spent. Planned stops return what is left; of a router that died, its successor
-// on the same VM frees what it surely has not spent (see Ledger).
+// The record holds one entry per router incarnation (one run of the router process) with
+// the total granted to it as an absolute number. A router is the only writer of its own
+// entry and never spends more than the last value it knows to be stored, so the sum of
+// all entries bounds total spending. A planned stop returns unspent tokens. After a
+// crash, the next process on the same VM frees what its predecessor cannot have spent
+// (see Ledger).
 package escrow
 
 import (
@@ -15,40 +16,40 @@
 	"github.com/pkg/errors"
 )
 
-// GrantEntry is what one router incarnation was granted.
+// GrantEntry holds the tokens granted to one router incarnation.
 type GrantEntry struct {
-	// Seq counts the incarnation's writes; zero means that it has no figure.
+	// Seq counts the incarnation's writes; zero means that it has no entry.
 	Seq int64 `json:"seq"`
-	// Granted is the total of tokens given out to it.
+	// Granted is the total number of tokens granted to it.
 	Granted int64 `json:"granted"`
-	// Spent is what it had spent of them at that write, with what it lent to others
-	// and without what it borrowed from them; so it can be negative.
+	// Spent is what it had spent at that write, plus tokens lent to other routers and
+	// minus tokens borrowed from them, so it can be negative.
 	Spent int64 `json:"spent"`
 }
 
 // Record is the durable state of one account's budget.
 type Record struct {
 	Format int `json:"format"`
-	// Closed is what incarnations that are no longer listed can have spent at most.
+	// Closed is the most that incarnations no longer listed can have spent.
 	Closed int64 `json:"closed"`
-	// ClosedSpent is what they spent at least.
+	// ClosedSpent is the least that they spent.
 	ClosedSpent int64 `json:"closed_spent"`
-	// Holders is by VM, then by incarnation.
+	// Holders is keyed by VM, then by incarnation.
 	Holders map[string]map[string]GrantEntry `json:"holders"`
 }
 
-// recordFormat is the version of the stored forms.
+// recordFormat is the version of the stored form of a Record.
 const recordFormat = 1
 
-// ErrInvalidRecord: a stored record can't be used. Nothing is granted on it.
+// ErrInvalidRecord means that a stored record or ledger can't be used. Nothing is granted
+// from such a record.
 var ErrInvalidRecord = errors.New("escrow: unusable record")
 
-// newRecord is the record of an account that was never granted anything.
+// newRecord returns the record of an account that has no grants yet.
 func newRecord() Record {
 	return Record{Format: recordFormat, Holders: map[string]map[string]GrantEntry{}}
 }
 
-// DecodeRecord reads a stored record.
 func DecodeRecord(data []byte) (Record, error) {
 	r := newRecord()
 	if err := json.Unmarshal(data, &r); err != nil {
@@ -58,8 +59,8 @@
 		return Record{}, errors.Wrapf(ErrInvalidRecord, "format %d, closed %d", r.Format, r.Closed)
 	}
 	for _, incarnations := range r.Holders {
-		for _, f := range incarnations {
-			if f.Granted < 0 {
+		for _, e := range incarnations {
+			if e.Granted < 0 {
 				return Record{}, errors.Wrap(ErrInvalidRecord, "negative grant")
 			}
 		}
@@ -70,7 +71,6 @@
 	return r, nil
 }
 
-// Encode gives the stored form.
 func (r Record) Encode() []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -79,52 +79,52 @@
 	return data
 }
 
-// TotalGranted is the tokens given out in all.
+// TotalGranted returns all tokens that are granted or counted as spent.
 func (r Record) TotalGranted() int64 {
 	sum := r.Closed
-	r.forEachEntry(func(f GrantEntry) { sum += f.Granted })
+	r.forEachEntry(func(e GrantEntry) { sum += e.Granted })
 	return sum
 }
 
-// MinSpent is what was surely spent: the figures lag behind.
+// MinSpent returns the least that was spent; entries lag behind the actual use.
 func (r Record) MinSpent() int64 {
 	sum := r.ClosedSpent
-	r.forEachEntry(func(f GrantEntry) { sum += f.Spent })
+	r.forEachEntry(func(e GrantEntry) { sum += e.Spent })
 	return sum
 }
 
-// SpentBy is what the incarnations of a VM have surely spent.
+// SpentBy returns the least that the listed incarnations of a VM have spent.
 func (r Record) SpentBy(vm string) int64 {
 	sum := int64(0)
-	for _, f := range r.Holders[vm] {
-		sum += f.Spent
+	for _, e := range r.Holders[vm] {
+		sum += e.Spent
 	}
 	return sum
 }
 
-// GrantedTo is what the incarnations of a VM were granted.
+// GrantedTo returns the tokens granted to the listed incarnations of a VM.
 func (r Record) GrantedTo(vm string) int64 {
 	sum := int64(0)
-	for _, f := range r.Holders[vm] {
-		sum += f.Granted
+	for _, e := range r.Holders[vm] {
+		sum += e.Granted
 	}
 	return sum
 }
 
 func (r Record) forEachEntry(visit func(GrantEntry)) {
 	for _, incarnations := range r.Holders {
-		for _, f := range incarnations {
-			visit(f)
+		for _, e := range incarnations {
+			visit(e)
 		}
 	}
 }
 
-// GrantEntry returns the figure of one incarnation.
+// GrantEntry returns the entry of one incarnation, or the zero value if it has none.
 func (r Record) GrantEntry(vm, incarnation string) GrantEntry {
 	return r.Holders[vm][incarnation]
 }
 
-// HasOtherEntries says whether the record still lists incarnations of a VM other than the
+// HasOtherEntries reports whether the record lists incarnations of a VM other than the
 // present one.
 func (r Record) HasOtherEntries(vm, present string) bool {
 	for incarnation := range r.Holders[vm] {
@@ -135,40 +135,40 @@
 	return false
 }
 
-// MaxSpentFunc is the most that a dead incarnation can have spent of its grant.
-type MaxSpentFunc func(incarnation string, figure GrantEntry) int64
+// MaxSpentFunc returns the most that a dead incarnation can have spent of its grant.
+type MaxSpentFunc func(incarnation string, entry GrantEntry) int64
 
-// WithEntry returns a copy in which an incarnation has the given figure. Earlier
-// incarnations of the same VM are closed: their processes are gone.
-func (r Record) WithEntry(vm, incarnation string, f GrantEntry, mostSpent MaxSpentFunc) Record {
-	next := r.withoutVM(vm, incarnation, mostSpent)
-	next.Holders[vm] = map[string]GrantEntry{incarnation: f}
+// WithEntry returns a copy in which an incarnation has the given entry. Earlier
+// incarnations of the same VM are closed, since their processes are gone.
+func (r Record) WithEntry(vm, incarnation string, e GrantEntry, maxSpent MaxSpentFunc) Record {
+	next := r.withoutVM(vm, incarnation, maxSpent)
+	next.Holders[vm] = map[string]GrantEntry{incarnation: e}
 	return next
 }
 
-// WithoutEntry returns a copy in which an incarnation has stopped, having used exactly
-// used and returned the rest.
-func (r Record) WithoutEntry(vm, incarnation string, used int64, mostSpent MaxSpentFunc) Record {
-	next := r.withoutVM(vm, incarnation, mostSpent)
+// WithoutEntry returns a copy in which an incarnation has stopped after spending exactly
+// used tokens and returning the rest.
+func (r Record) WithoutEntry(vm, incarnation string, used int64, maxSpent MaxSpentFunc) Record {
+	next := r.withoutVM(vm, incarnation, maxSpent)
 	next.Closed += used
 	next.ClosedSpent += used
 	return next
 }
 
-// withoutVM copies the record without the VM's figures; all of them but the present
-// incarnation's are closed.
-func (r Record) withoutVM(vm, present string, mostSpent MaxSpentFunc) Record {
+// withoutVM returns a copy without the VM's entries. All of them except the present
+// incarnation's are closed: what they can have spent is added to Closed.
+func (r Record) withoutVM(vm, present string, maxSpent MaxSpentFunc) Record {
 	next := Record{Format: recordFormat, Closed: r.Closed, ClosedSpent: r.ClosedSpent,
 		Holders: make(map[string]map[string]GrantEntry, len(r.Holders)+1)}
-	for name, incarnations := range r.Holders {
-		if name != vm {
-			next.Holders[name] = incarnations
+	for other, incarnations := range r.Holders {
+		if other != vm {
+			next.Holders[other] = incarnations
 		}
 	}
-	for incarnation, f := range r.Holders[vm] {
+	for incarnation, e := range r.Holders[vm] {
 		if incarnation != present {
-			next.Closed += mostSpent(incarnation, f)
-			next.ClosedSpent += f.Spent
+			next.Closed += maxSpent(incarnation, e)
+			next.ClosedSpent += e.Spent
 		}
 	}
 	return next
