--- a/internal/escrow/clock.go
+++ b/internal/escrow/clock.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// SystemClock returns a reader of this VM's clocks.
+// SystemClock returns a function that reads this VM's clocks.
 func SystemClock() (func() ClockReading, error) {
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -19,7 +19,7 @@
 	return func() ClockReading {
 		steady := unix.Timespec{}
 		if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady); err != nil {
-			panic(err) // the steady clock exists on every Linux
+			panic(err) // CLOCK_MONOTONIC exists on every Linux
 		}
 		return ClockReading{Boot: boot, Steady: time.Duration(steady.Nano()), Wall: time.Now()}
 	}, nil
--- a/internal/escrow/draw.go
+++ b/internal/escrow/draw.go
@@ -12,24 +12,26 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// draw is one transaction: new figures of some accounts, and the ledger.
+// draw is one transaction with the store: new grant entries of some accounts, and the
+// ledger.
 type draw struct {
 	grants  []*grant
-	figures []GrantEntry
+	entries []GrantEntry
 	records []Record
-	// pendingRevision is what each grant had before this transaction.
-	pendingRevision []int64
-	// closedGrants are of this VM's dead incarnations that the transaction closes.
-	closedGrants []closedGrant
-	ledger       Ledger
-	contact      bool // the contact key is written
-	txn          store.Txn
+	// pendingRevisions holds each grant's pendingRevision before this transaction.
+	pendingRevisions []int64
+	// closedGrants are the grants of this VM's dead incarnations that it closes.
+	closedGrants  []closedGrant
+	ledger        Ledger
+	writesContact bool // it writes the contact key
+	txn           store.Txn
 }
 
-// plan works out the write that is due now, if any.
+// plan returns the transaction that is due now, if any. With refreshLedger one is due
+// whenever the router holds tokens or can't reach the store.
 func (m *GrantManager) plan(refreshLedger bool) (draw, bool) {
-	budgets := m.o.Budgets()
-	now := m.o.Clock()
+	budgets := m.opts.Budgets()
+	now := m.opts.Clock()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.stopped || len(budgets) == 0 {
@@ -44,25 +46,26 @@
 	if !m.storeDown {
 		lastContact = now
 	}
-	d := draw{ledger: Ledger{Format: ledgerFormat, Incarnation: m.o.Incarnation, Address: m.o.Address, Contact: lastContact,
+	d := draw{ledger: Ledger{Format: ledgerFormat, Incarnation: m.opts.Incarnation, Address: m.opts.Address, Contact: lastContact,
 		Allowances: make(map[string]Allowance, len(accounts))}}
 	holdsTokens := m.holdsTokens(budgets)
 	m.idle = !holdsTokens
 	due := refreshLedger && (m.storeDown || holdsTokens)
-	topUp := refillThreshold
+	threshold := refillThreshold
 	if refreshLedger {
-		topUp = topUpThreshold
+		threshold = topUpThreshold
 	}
 	for _, account := range accounts {
 		g := m.grant(account)
 		g.updateRate(now.Steady)
 		as := m.role(g)
-		granted, wanted := g.plan(budgets[account], as, topUp)
-		// An unanswered write must be followed by another of the same record: that
-		// moves the revision, after which the first one can't land any more.
-		// What a predecessor on this VM left is freed at once, whoever is home now.
-		wanted = wanted || g.record.HasOtherEntries(m.o.VM, m.o.Incarnation)
-		wanted = wanted || refreshLedger && !m.storeDown && g.needsReport(g.record.GrantEntry(m.o.VM, m.o.Incarnation), budgets[account])
+		granted, wanted := g.plan(budgets[account], as, threshold)
+		// An unanswered write must be followed by another write of the same record: it
+		// raises the revision, after which the first one can't take effect any more.
+		// The grant of a predecessor on this VM is closed at once, also if another
+		// router is the home now.
+		wanted = wanted || g.record.HasOtherEntries(m.opts.VM, m.opts.Incarnation)
+		wanted = wanted || refreshLedger && !m.storeDown && g.needsReport(g.record.GrantEntry(m.opts.VM, m.opts.Incarnation), budgets[account])
 		if (wanted || g.pendingRevision != noPendingWrite) && g.recordKnown && len(d.grants) < maxTxnAccounts {
 			m.addGrant(&d, g, granted)
 			due = true
@@ -75,8 +78,8 @@
 			next.OutageReserve = int64(outageReserveShare * float64(g.remaining(budgets[account])))
 		}
 		if m.storeDown {
-			// What waits or is refused in an outage lowers the rate, and with it what
-			// may be spent; nothing is gained by stating less.
+			// Requests that wait or are refused during an outage lower the rate of use.
+			// A lower allowance would only lead to more refusals.
 			next = Allowance{max(next.Ceiling, g.allowance.Ceiling), max(next.OutageRate, g.allowance.OutageRate), g.allowance.OutageReserve}
 		}
 		d.ledger.Allowances[account] = next
@@ -87,20 +90,20 @@
 	}
 	m.lastContact = lastContact
 	m.lowerAllowances(d.ledger)
-	key := m.o.Prefix + ledgerKeyPrefix + m.o.VM
+	key := m.opts.Prefix + ledgerKeyPrefix + m.opts.VM
 	d.txn.Expect = append(d.txn.Expect, store.Expect{Key: key, Revision: store.Revision(m.ledgerRevision)})
 	d.txn.Puts = append(d.txn.Puts, store.Put{Key: key, Value: d.ledger.Encode()})
 	if m.contactLease != 0 && !m.contactWritten {
-		contact := store.Put{Key: m.o.Prefix + contactKeyPrefix + m.o.VM, Value: []byte(m.o.Incarnation), Lease: m.contactLease}
+		contact := store.Put{Key: m.opts.Prefix + contactKeyPrefix + m.opts.VM, Value: []byte(m.opts.Incarnation), Lease: m.contactLease}
 		d.txn.Puts = append(d.txn.Puts, contact)
-		d.contact = true
+		d.writesContact = true
 	}
 	return d, true
 }
 
-// lowerAllowances holds this router to the allowances of a ledger that is about to be written, where
-// they are lowerAllowances than the present ones. The ledger may land whatever becomes of its
-// answer; higher allowances count only once they are stored.
+// lowerAllowances lowers the allowances to those of a ledger that is about to be written,
+// where these are lower. The ledger may be stored even if the response is lost; higher
+// allowances take effect only once they are known to be stored.
 func (m *GrantManager) lowerAllowances(ledger Ledger) {
 	for account, next := range ledger.Allowances {
 		g := m.grant(account)
@@ -108,14 +111,15 @@
 	}
 }
 
-// minFreeableShare is the part of a budget that a successor should be able to free. A router
-// that is no home holds less than that for the moment between the end of a request and the
-// next sweep, on and on; a write for it every time would cost more calls than all homes'.
+// minFreeableShare is the fraction of a budget above which a grant is worth a ledger, so
+// that a successor can free it. A borrower repeatedly holds less than that between the end
+// of a request and the next sweep. Ledgers for it would take more calls than those of all
+// homes together.
 const minFreeableShare = 0.005
 
-// holdsTokens says whether this router was granted anything that it has not used, or holdsTokens for
-// others. One that only borrows, or has used up what it once drew, needs no ledger: its
-// successor has nothing to free.
+// holdsTokens reports whether this router has unused tokens of its own grants, or draws for
+// other routers. A router that only borrows, or has used up its grants, needs no ledger:
+// its successor has nothing to free.
 func (m *GrantManager) holdsTokens(budgets map[string]int64) bool {
 	for account, g := range m.grants {
 		unused := float64(g.granted - g.used())
@@ -126,21 +130,21 @@
 	return false
 }
 
-// addGrant puts one account's new figure into a transaction. A smaller grant counts
-// from now on, before it is stored; a larger one only once it is stored.
+// addGrant adds one account's new grant to the transaction. A smaller grant takes effect
+// now, before it is stored; a larger one only once it is stored.
 func (m *GrantManager) addGrant(d *draw, g *grant, granted int64) {
 	g.seq++
-	figure := GrantEntry{Seq: g.seq, Granted: granted, Spent: g.netSpent()}
-	next := g.record.WithEntry(m.o.VM, m.o.Incarnation, figure, m.maxSpent(d, g))
+	entry := GrantEntry{Seq: g.seq, Granted: granted, Spent: g.netSpent()}
+	next := g.record.WithEntry(m.opts.VM, m.opts.Incarnation, entry, m.maxSpent(d, g))
 	g.granted = min(g.granted, granted)
-	d.pendingRevision = append(d.pendingRevision, g.pendingRevision)
+	d.pendingRevisions = append(d.pendingRevisions, g.pendingRevision)
 	g.pendingRevision = g.revision
 	d.grants = append(d.grants, g)
-	d.figures = append(d.figures, figure)
+	d.entries = append(d.entries, entry)
 	d.putRecord(m.accountKey(g), g.revision, next)
 }
 
-// putRecord adds the write of a record under the condition that it is at a revision.
+// putRecord adds the write of a record on condition that its revision is unchanged.
 func (d *draw) putRecord(key string, revision int64, next Record) {
 	d.records = append(d.records, next)
 	d.txn.Expect = append(d.txn.Expect, store.Expect{Key: key, Revision: store.Revision(revision)})
@@ -148,47 +152,47 @@
 }
 
 func (m *GrantManager) accountKey(g *grant) string {
-	return m.o.Prefix + AccountKeyPrefix + g.account
+	return m.opts.Prefix + AccountKeyPrefix + g.account
 }
 
-// closedGrant is how one account's grant of a dead incarnation was closed.
+// closedGrant describes how one account's grant of a dead incarnation was closed.
 type closedGrant struct {
 	account, incarnation string
-	figure               GrantEntry
+	entry                GrantEntry
 	bound                SpendingBound
 }
 
-// maxSpent judges this VM's dead incarnations by the ledger that the last left, and notes
-// in the draw what came of it.
+// maxSpent returns a function that bounds the spending of this VM's dead incarnations by
+// the predecessor's ledger, and adds them to d.closedGrants.
 func (m *GrantManager) maxSpent(d *draw, g *grant) MaxSpentFunc {
-	return func(incarnation string, figure GrantEntry) int64 {
-		judged := m.predecessorLedger.BoundSpending(g.account, incarnation, m.o.Address, figure.Granted, m.startClock, m.leaseHolder == incarnation)
-		d.closedGrants = append(d.closedGrants, closedGrant{g.account, incarnation, figure, judged})
-		return judged.Max
+	return func(incarnation string, entry GrantEntry) int64 {
+		bound := m.predecessorLedger.BoundSpending(g.account, incarnation, m.opts.Address, entry.Granted, m.startClock, m.leaseHolder == incarnation)
+		d.closedGrants = append(d.closedGrants, closedGrant{g.account, incarnation, entry, bound})
+		return bound.Max
 	}
 }
 
-// logClosedGrants tells what became of the grants of dead incarnations, once that is stored.
+// logClosedGrants logs the closed grants of dead incarnations, once this is stored.
 func (m *GrantManager) logClosedGrants(d draw) {
-	for _, e := range d.closedGrants {
-		m.o.Log.Emit(event.GrantClosed, slog.String(event.KeyBudget, e.account), slog.String("holder", e.incarnation),
-			slog.Int64("granted", e.figure.Granted), slog.Int64("spent", e.figure.Spent), slog.Int64("judged", e.bound.Max),
-			slog.Int64("ceiling", e.bound.Ceiling), slog.Int64("age_ms", e.bound.Age.Milliseconds()),
-			slog.String("by", string(e.bound.Basis)))
+	for _, c := range d.closedGrants {
+		m.opts.Log.Emit(event.GrantClosed, slog.String(event.KeyBudget, c.account), slog.String("holder", c.incarnation),
+			slog.Int64("granted", c.entry.Granted), slog.Int64("spent", c.entry.Spent), slog.Int64("judged", c.bound.Max),
+			slog.Int64("ceiling", c.bound.Ceiling), slog.Int64("age_ms", c.bound.Age.Milliseconds()),
+			slog.String("by", string(c.bound.Basis)))
 	}
 }
 
-// commit runs the transaction and says whether it landed.
+// commit runs the transaction and reports whether it is known to be committed.
 func (m *GrantManager) commit(ctx context.Context, d draw) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	sent := m.o.Clock().Steady
-	result, err := m.o.Store.Commit(ctx, d.txn)
-	m.noteContact(err)
+	sent := m.opts.Clock().Steady
+	result, err := m.opts.Store.Commit(ctx, d.txn)
+	m.recordContact(err)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err == nil || errors.Is(err, store.ErrConflict) {
-		m.noteRoundTrip(m.o.Clock().Steady - sent)
+		m.noteRoundTrip(m.opts.Clock().Steady - sent)
 	}
 	switch {
 	case err == nil:
@@ -196,59 +200,60 @@
 	case errors.Is(err, store.ErrConflict):
 		m.applyConflict(d, result)
 	case errors.Is(err, store.ErrUnavailable), errors.Is(err, store.ErrLeaseGone):
-		// Nothing was done: the records are still as known.
+		// Nothing was written: the records are unchanged.
 		if errors.Is(err, store.ErrLeaseGone) {
 			m.contactLease, m.contactWritten = 0, false
 		}
 		for i, g := range d.grants {
-			g.pendingRevision = d.pendingRevision[i]
-			g.applyRecord(g.record, g.revision, g.record.GrantEntry(m.o.VM, m.o.Incarnation))
+			g.pendingRevision = d.pendingRevisions[i]
+			g.applyRecord(g.record, g.revision, g.record.GrantEntry(m.opts.VM, m.opts.Incarnation))
 		}
 	default:
 		m.ledgerKnown = false
 		for _, g := range d.grants {
 			g.recordKnown = false
 		}
-		m.o.Log.Emit(event.DrawUnknown, slog.Int("accounts", len(d.grants)), slog.Any(event.KeyCause, err))
+		m.opts.Log.Emit(event.DrawUnknown, slog.Int("accounts", len(d.grants)), slog.Any(event.KeyCause, err))
 	}
 	return err == nil
 }
 
-// noteRoundTrip follows how long a write takes that is answered. A store may be slow for
-// seconds: ceilings are then higher by what is used during a write, and reservations wait
-// for it. A call that ran out tells nothing of that: counted, it held ceilings up by a second
-// of use after each outage, and that was lost where all routers died then.
-func (m *GrantManager) noteRoundTrip(took time.Duration) {
-	const fall = 0.8 // a write's part in what is remembered after it
-	m.roundTrip = max(took, time.Duration(fall*float64(m.roundTrip)))
+// noteRoundTrip updates roundTrip by the duration of an answered write. The store may be
+// slow for seconds. Ceilings are then raised by what is used during a write, and
+// reservations wait longer. Calls that timed out are not counted: they would raise ceilings
+// by about a second of use after each outage, and that would be lost if all routers crashed
+// then.
+func (m *GrantManager) noteRoundTrip(duration time.Duration) {
+	const decay = 0.8 // per write
+	m.roundTrip = max(duration, time.Duration(decay*float64(m.roundTrip)))
 }
 
 func (m *GrantManager) applyCommit(d draw, result store.Result) {
 	m.ledgerRevision, m.conflicts = int64(result.Revision), 0
-	m.contactWritten = m.contactWritten || d.contact
+	m.contactWritten = m.contactWritten || d.writesContact
 	m.logClosedGrants(d)
 	for account, allowance := range d.ledger.Allowances {
 		m.grant(account).allowance = allowance
 	}
 	for i, g := range d.grants {
-		g.applyRecord(d.records[i], int64(result.Revision), d.figures[i])
-		m.o.Log.Emit(event.DrawLanded, slog.String(event.KeyBudget, g.account), slog.Int64("granted", g.granted),
+		g.applyRecord(d.records[i], int64(result.Revision), d.entries[i])
+		m.opts.Log.Emit(event.DrawLanded, slog.String(event.KeyBudget, g.account), slog.Int64("granted", g.granted),
 			slog.Int64("spent", g.spent), slog.Int64("reserved", g.reserved), slog.Int64("revision", g.revision))
 	}
 }
 
-// applyConflict takes the records as they are and tries again in the next round.
+// applyConflict takes over the stored records and lets the next round try again.
 func (m *GrantManager) applyConflict(d draw, result store.Result) {
 	m.conflicts++
 	current := make(map[string]store.Item, len(result.Current))
 	for _, item := range result.Current {
 		current[item.Key] = item
 	}
-	if item, found := current[m.o.Prefix+ledgerKeyPrefix+m.o.VM]; found {
+	if item, found := current[m.opts.Prefix+ledgerKeyPrefix+m.opts.VM]; found {
 		m.applyLedgerItem(item)
 	}
 	for i, g := range d.grants {
-		g.pendingRevision = d.pendingRevision[i] // this transaction is answered: it never lands
+		g.pendingRevision = d.pendingRevisions[i] // this transaction will never take effect
 		item, found := current[m.accountKey(g)]
 		switch {
 		case found:
@@ -262,8 +267,8 @@
 	m.wakeUp()
 }
 
-// noteContact notes whether the store answered.
-func (m *GrantManager) noteContact(err error) {
+// recordContact sets storeDown by the result of a call to the store.
+func (m *GrantManager) recordContact(err error) {
 	reached := err == nil || errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrLeaseGone)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -272,8 +277,8 @@
 	}
 	m.storeDown = !reached
 	if reached {
-		m.o.Log.Emit(event.StoreReachable, slog.String("follows", "budgets"))
+		m.opts.Log.Emit(event.StoreReachable, slog.String("follows", "budgets"))
 		return
 	}
-	m.o.Log.Emit(event.StoreUnreachable, slog.String("follows", "budgets"), slog.Any(event.KeyCause, err))
+	m.opts.Log.Emit(event.StoreUnreachable, slog.String("follows", "budgets"), slog.Any(event.KeyCause, err))
 }
--- a/internal/escrow/gather.go
+++ b/internal/escrow/gather.go
@@ -44,7 +44,7 @@
 // spentByVM returns what a VM is known to have spent of an account: by its report if that is
 // recent, else by the record. The caller holds m.mu.
 func (m *GrantManager) spentByVM(g *grant, vm string) int64 {
-	if report, known := g.reports[vm]; known && m.o.Clock().Steady-report.at < usageReportTTL {
+	if report, known := g.reports[vm]; known && m.opts.Clock().Steady-report.at < usageReportTTL {
 		return report.spent
 	}
 	return g.record.SpentBy(vm)
@@ -52,9 +52,9 @@
 
 // spentElsewhere returns what all other processes are known to have spent. The caller holds m.mu.
 func (m *GrantManager) spentElsewhere(g *grant) int64 {
-	sum := g.record.ClosedSpent + g.record.SpentBy(m.o.VM) - g.record.GrantEntry(m.o.VM, m.o.Incarnation).Spent
+	sum := g.record.ClosedSpent + g.record.SpentBy(m.opts.VM) - g.record.GrantEntry(m.opts.VM, m.opts.Incarnation).Spent
 	for vm := range g.record.Holders {
-		if vm != m.o.VM {
+		if vm != m.opts.VM {
 			sum += m.spentByVM(g, vm)
 		}
 	}
@@ -75,7 +75,7 @@
 	if g.gathering {
 		return true
 	}
-	if g.shortGatherAt > 0 && m.o.Clock().Steady-g.shortGatherAt < shortGatherBackoff {
+	if g.shortGatherAt > 0 && m.opts.Clock().Steady-g.shortGatherAt < shortGatherBackoff {
 		return false
 	}
 	vm, address := m.largestOtherHolder(g)
@@ -125,10 +125,10 @@
 // largestOtherHolder returns the other VM that is known to have the most unspent tokens, and its
 // address. The address is empty if there is no such VM that can be asked.
 func (m *GrantManager) largestOtherHolder(g *grant) (vm, address string) {
-	most, now := int64(0), m.o.Clock().Steady
+	most, now := int64(0), m.opts.Clock().Steady
 	for name := range g.record.Holders {
 		at, unreached := m.unreached[name]
-		if name == m.o.VM || m.vmAddresses[name] == "" || unreached && now-at < unreachableBackoff {
+		if name == m.opts.VM || m.vmAddresses[name] == "" || unreached && now-at < unreachableBackoff {
 			continue
 		}
 		left := g.record.GrantedTo(name) - m.spentByVM(g, name)
@@ -145,11 +145,11 @@
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
 	g := req.grant
-	loan := m.o.Peers.BorrowFrom(ctx, req.address, g.account, req.tokens, noWaiter)
+	loan := m.opts.Peers.BorrowFrom(ctx, req.address, g.account, req.tokens, noWaiter)
 	m.mu.Lock()
 	g.borrowed += loan.Tokens
 	g.gathering = false
-	now := m.o.Clock().Steady
+	now := m.opts.Clock().Steady
 	if loan.Short == PeerUnreachable {
 		m.unreached[req.vm] = now
 	} else {
@@ -159,9 +159,9 @@
 		}
 	}
 	if loan.Tokens > 0 || g.gatherLog.due(now) {
-		m.o.Log.Emit(event.TokensGathered, slog.String(event.KeyBudget, g.account), slog.String(event.KeyRouter, req.vm),
+		m.opts.Log.Emit(event.TokensGathered, slog.String(event.KeyBudget, g.account), slog.String(event.KeyRouter, req.vm),
 			slog.Int64("wanted", req.tokens), slog.Int64(event.KeyTokens, loan.Tokens), slog.Int64("spent", loan.Spent),
-			slog.Int("unlogged", g.gatherLog.take()))
+			slog.Int("unlogged", g.gatherLog.takeSuppressed()))
 	}
 	m.mu.Unlock()
 	m.broadcast()
--- a/internal/escrow/gather_test.go
+++ b/internal/escrow/gather_test.go
@@ -22,9 +22,9 @@
 func TestLargestOtherHolder(t *testing.T) {
 	b := newTestbed(1_000_000)
 	m := b.newManager("p1", noPeers{})
-	m.vmAddresses = map[string]string{m.o.VM: "own", "vm-2": "two", "vm-3": "three"}
+	m.vmAddresses = map[string]string{m.opts.VM: "own", "vm-2": "two", "vm-3": "three"}
 	record := newRecord()
-	record.Holders[m.o.VM] = map[string]GrantEntry{"p1": {Granted: 900_000}}
+	record.Holders[m.opts.VM] = map[string]GrantEntry{"p1": {Granted: 900_000}}
 	record.Holders["vm-2"] = map[string]GrantEntry{"p2": {Granted: 50_000, Spent: 45_000}}
 	record.Holders["vm-3"] = map[string]GrantEntry{"p3": {Granted: 20_000, Spent: 1_000}}
 	record.Holders["vm-4"] = map[string]GrantEntry{"p4": {Granted: 30_000}}
@@ -33,7 +33,7 @@
 	vm, address := m.largestOtherHolder(g)
 	qt.Assert(t, vm, qt.Equals, "vm-3")
 	qt.Assert(t, address, qt.Equals, "three")
-	m.unreached["vm-3"] = m.o.Clock().Steady
+	m.unreached["vm-3"] = m.opts.Clock().Steady
 	_, address = m.largestOtherHolder(g)
 	qt.Assert(t, address, qt.Equals, "two")
 	b.steady += unreachableBackoff
--- a/internal/escrow/holders.go
+++ b/internal/escrow/holders.go
@@ -107,9 +107,9 @@
 // role is roleOf for callers that hold m.mu.
 func (m *GrantManager) role(g *grant) role {
 	switch {
-	case m.o.Home(g.account) == "":
+	case m.opts.Home(g.account) == "":
 		return home
-	case g.lastAskedAt > 0 && m.o.Clock().Steady-g.lastAskedAt < standbyTimeout:
+	case g.lastAskedAt > 0 && m.opts.Clock().Steady-g.lastAskedAt < standbyTimeout:
 		return standby
 	}
 	return borrower
@@ -146,7 +146,7 @@
 
 // borrowFrom borrows the missing tokens from one holder.
 func (m *GrantManager) borrowFrom(ctx context.Context, r *pendingReservation, address string) Shortage {
-	loan := m.o.Peers.BorrowFrom(ctx, address, r.grant.account, r.missing, r.waiterID)
+	loan := m.opts.Peers.BorrowFrom(ctx, address, r.grant.account, r.missing, r.waiterID)
 	r.received(loan.Tokens)
 	// If the request was cancelled or timed out, the failure says nothing about the holder.
 	if ctx.Err() == nil && (loan.Short == PeerUnreachable || loan.Short == StoreUnreachable) {
@@ -160,7 +160,7 @@
 // recently unavailable are left out. If the home is among them it is returned separately: it
 // still holds a grant and is asked last.
 func (m *GrantManager) holdersToAsk(account string) (addresses []string, unavailableHome string) {
-	for i, address := range m.o.Holders(account) {
+	for i, address := range m.opts.Holders(account) {
 		switch {
 		case address == "" && !m.isStoreDown():
 			return addresses, unavailableHome
@@ -178,13 +178,13 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at, found := m.holderDownAt[address]
-	return found && m.o.Clock().Steady-at < holderBackoff
+	return found && m.opts.Clock().Steady-at < holderBackoff
 }
 
 func (m *GrantManager) markUnavailable(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.holderDownAt[address] = m.o.Clock().Steady
+	m.holderDownAt[address] = m.opts.Clock().Steady
 }
 
 // lastResortInterval is the mean time between two draws of a router that is not a holder, while
@@ -195,10 +195,10 @@
 // mayDraw reports whether this router may draw for a request: either it is one of the account's
 // holders, or a draw of last resort is due.
 func (m *GrantManager) mayDraw(g *grant) bool {
-	isHolder := slices.Contains(m.o.Holders(g.account), "")
+	isHolder := slices.Contains(m.opts.Holders(g.account), "")
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.o.Clock().Steady
+	now := m.opts.Clock().Steady
 	if m.storeDown {
 		return false
 	}
@@ -223,10 +223,10 @@
 // knows. The caller holds m.mu.
 func (m *GrantManager) shortageError(r *pendingReservation) error {
 	g := r.grant
-	prepaid := m.o.Budgets()[g.account]
+	prepaid := m.opts.Budgets()[g.account]
 	// Tokens spent by other routers count as far as their reports or the record show them.
 	used := g.used() - (r.tokens - r.missing) + m.spentElsewhere(g)
-	left := prepaid - used + g.recentlyLent.sum(m.o.Clock().Steady)
+	left := prepaid - used + g.recentlyLent.sum(m.opts.Clock().Steady)
 	inDoubt := g.record.Closed - g.record.ClosedSpent
 	err := ErrContended
 	switch {
@@ -242,13 +242,13 @@
 // logShortage logs that a budget can't cover a request, at most once a second. The caller
 // holds m.mu.
 func (m *GrantManager) logShortage(g *grant, prepaid, used, left int64, cause error) {
-	if !g.shortageLog.due(m.o.Clock().Steady) {
+	if !g.shortageLog.due(m.opts.Clock().Steady) {
 		return
 	}
-	m.o.Log.Emit(event.BudgetShort, slog.String(event.KeyBudget, g.account), slog.Int64("prepaid", prepaid),
+	m.opts.Log.Emit(event.BudgetShort, slog.String(event.KeyBudget, g.account), slog.Int64("prepaid", prepaid),
 		slog.Int64("given", g.record.TotalGranted()), slog.Int64("closed", g.record.Closed),
 		slog.Int64("closed_spent", g.record.ClosedSpent), slog.Int64("used", used), slog.Int64("left", left),
-		slog.Int64("revision", g.revision), slog.Any(event.KeyCause, cause), slog.Int("unlogged", g.shortageLog.take()))
+		slog.Int64("revision", g.revision), slog.Any(event.KeyCause, cause), slog.Int("unlogged", g.shortageLog.takeSuppressed()))
 }
 
 // recentLoans counts the tokens lent in the current recentLoanWindow and the one before it.
@@ -287,23 +287,23 @@
 		return ErrUnreachable
 	}
 	missing := r.missing
-	received, used := m.o.Peers.Borrow(ctx, r.grant.account, missing)
+	received, used := m.opts.Peers.Borrow(ctx, r.grant.account, missing)
 	r.received(received)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	record := r.grant.record
-	prepaid := m.o.Budgets()[r.grant.account]
-	if received > 0 || r.grant.shortageLog.due(m.o.Clock().Steady) {
-		m.o.Log.Emit(event.TokensBorrowed, slog.String(event.KeyBudget, r.grant.account), slog.Int64("missing", missing),
+	prepaid := m.opts.Budgets()[r.grant.account]
+	if received > 0 || r.grant.shortageLog.due(m.opts.Clock().Steady) {
+		m.opts.Log.Emit(event.TokensBorrowed, slog.String(event.KeyBudget, r.grant.account), slog.Int64("missing", missing),
 			slog.Int64(event.KeyTokens, received), slog.Int64("prepaid", prepaid), slog.Int64("given", record.TotalGranted()),
 			slog.Int64("closed", record.Closed), slog.Int64("used", used), slog.Any(event.KeyCause, ErrUnreachable),
-			slog.Int("unlogged", r.grant.shortageLog.take()))
+			slog.Int("unlogged", r.grant.shortageLog.takeSuppressed()))
 	}
 	if r.missing == 0 {
 		return nil
 	}
 	if received == 0 {
-		r.grant.emptyBorrowAt = m.o.Clock().Steady
+		r.grant.emptyBorrowAt = m.opts.Clock().Steady
 	}
 	// Counts only confirmed use, with reservations in full. Tokens that no router accounted
 	// for may still be returned, so they are no reason to report the budget as exhausted.
@@ -318,5 +318,5 @@
 func (m *GrantManager) mayBorrow(g *grant) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return g.emptyBorrowAt == 0 || m.o.Clock().Steady-g.emptyBorrowAt >= emptyBorrowBackoff
+	return g.emptyBorrowAt == 0 || m.opts.Clock().Steady-g.emptyBorrowAt >= emptyBorrowBackoff
 }
--- a/internal/escrow/holders_test.go
+++ b/internal/escrow/holders_test.go
@@ -251,7 +251,7 @@
 	m := b.newManager("p1", noPeers{})
 	m.syncStore(context.Background(), true)
 	m.recordsReadAt = b.steady
-	m.o.Budgets = func() map[string]int64 { return nil }
+	m.opts.Budgets = func() map[string]int64 { return nil }
 	c.Assert(m.Lend("harbour", 1_000, "waiter").Short, qt.Equals, StoreUnreachable)
 }
 
--- a/internal/escrow/keeper.go
+++ b/internal/escrow/keeper.go
@@ -15,131 +15,133 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Refusals of a reservation.
+// Errors of Reserve.
 var (
-	// ErrExhausted: what is left of the budget surely doesn't cover the request.
+	// ErrExhausted: the remaining budget can't cover the request.
 	ErrExhausted = errors.New("escrow: budget exhausted")
-	// ErrContended: the rest of the budget is granted to other routers; some of it
-	// may come back.
+	// ErrContended: the rest of the budget is granted to other routers; some of it may
+	// be returned unused.
 	ErrContended = errors.New("escrow: rest of the budget is held elsewhere")
-	// ErrInDoubt: the rest of the budget may have been spent by routers that died. Only
-	// a top-up helps, or their successors, if they have none yet.
+	// ErrInDoubt: the rest of the budget may have been spent by dead routers. Only a
+	// top-up helps, or the start of successors that have not started yet.
 	ErrInDoubt = errors.New("escrow: rest of the budget may be spent")
-	// ErrUnreachable: this router's grant is used up and the store is away.
+	// ErrUnreachable: this router's grant is used up and the store is unreachable.
 	ErrUnreachable = errors.New("escrow: store unreachable")
 )
 
-// Budgets tells the paid total of each metered account, by the newest configuration.
+// Budgets returns the prepaid total of each metered account, by the newest configuration.
 type Budgets func() map[string]int64
 
-// Options of a Keeper.
+// Options configure a GrantManager.
 type Options struct {
 	Store       store.Store
 	Prefix      string // of all keys
 	VM          string
-	Address     string // of the VM; no other VM has it
-	Incarnation string // of this process; no other process ever has it
+	Address     string // of the VM; unique
+	Incarnation string // identifies this process; never reused
 	Budgets     Budgets
 	Log         *event.Log
 	Clock       func() ClockReading
-	// Home is the address of the router that holds an account's grant for all, by
-	// this router's view; empty if it is this one. Views may differ for a while:
-	// that costs some draws more, nothing else.
+	// Home returns the address of an account's home, the router that draws for all
+	// others, or "" if it is this router. Routers may disagree for a while, which only
+	// costs a few more draws.
 	Home func(account string) string
-	// Holders are the home and those that hold instead of it while it has no contact with
-	// the store, in their order: MaxHolders at the most, empty for this one.
+	// Holders returns the addresses of an account's holders in their order, at most
+	// MaxHolders: the home, then those that draw in its place while it can't reach the
+	// store. This router is "".
 	Holders func(account string) []string
 	Peers   Peers
 }
 
-// Peers are the other routers.
+// Peers gives access to the other routers.
 type Peers interface {
-	// BorrowFrom asks a holder of the account for tokens. waiterID names the request in the
-	// queue that may form there.
+	// BorrowFrom asks one router for tokens. waiterID identifies the request in that
+	// router's queue.
 	BorrowFrom(ctx context.Context, address, account string, tokens int64, waiterID string) Loan
-	// Borrow asks one after the other. It returns how many tokens it got, and how
-	// many those that answered have used.
+	// Borrow asks routers one after the other. It returns how many tokens it got, and
+	// how many the routers that answered have used.
 	Borrow(ctx context.Context, account string, tokens int64) (got, used int64)
-	// HandOver gives tokens by account to a router; sent is false if it surely got
-	// none of them.
+	// HandOver gives tokens, keyed by account, to a router. sent is false only if the
+	// router certainly got none of them.
 	HandOver(ctx context.Context, address string, tokens map[string]int64) (sent bool)
 }
 
-// Keys below the prefix.
+// Prefixes of keys, below Options.Prefix.
 const (
-	AccountKeyPrefix = "account/" // a Record each
-	ledgerKeyPrefix  = "router/"  // a Ledger each
-	contactKeyPrefix = "contact/" // the incarnation, under its contact lease
+	AccountKeyPrefix = "account/" // followed by the account; a Record
+	ledgerKeyPrefix  = "router/"  // followed by the VM; a Ledger
+	contactKeyPrefix = "contact/" // followed by the VM; the incarnation, bound to its contact lease
 )
 
-// GrantManager holds this router's grants. Reservations come from any goroutine; one
-// goroutine (Run) speaks with the store.
+// GrantManager manages this router's grants. Reservations may be made from any goroutine;
+// one goroutine (Run) talks to the store.
 type GrantManager struct {
-	o Options
+	opts Options
 
 	mu           sync.Mutex
 	grants       map[string]*grant
 	changed      chan struct{} // closed and replaced after each round with the store
 	wake         chan struct{}
 	storeDown    bool  // the last call to the store failed
-	idle         bool  // nothing is held: the ledger needs no writes
-	downRounds   int   // rounds since the store was lost
-	leaving      bool  // a planned stop began
+	idle         bool  // no tokens are held: the ledger needs no writes
+	downRounds   int   // rounds since the store became unreachable
+	leaving      bool  // a planned stop has begun
 	stopped      bool  // the grants are being returned
-	lastWaiterID int64 // names given so far
-	// roundTrip is what a write takes, by the slowest of late: it rises at once and
-	// falls slowly.
+	lastWaiterID int64 // the last one generated
+	// roundTrip is the duration of the slowest recent write: it rises at once and falls
+	// slowly.
 	roundTrip time.Duration
-	// holderDownAt is when holders, by address, last had no contact with the store.
+	// holderDownAt is when a holder was last found to be unable to draw, by address.
 	holderDownAt map[string]time.Duration
-	// vmAddresses are those of the VMs that have a ledger, as of the last read.
+	// vmAddresses holds the addresses of the VMs that have a ledger, as of the last read.
 	vmAddresses map[string]string
-	// unreached is when a VM that was asked for what it holds last gave no answer.
+	// unreached is when a VM last failed to answer a gathering.
 	unreached map[string]time.Duration
-	// pendingGatherings are ordered and not begun.
+	// pendingGatherings are requested but not started.
 	pendingGatherings []gathering
 	gatherDue         chan struct{}
-	// conflicts counts writes in a row that lost the race for a record.
+	// conflicts counts consecutive writes that failed with a conflict.
 	conflicts int
-	// isolated counts reservations in a row that found nobody to give tokens.
+	// isolated counts consecutive reservations that found neither the store nor tokens.
 	isolated int
 
-	// predecessorLedger is the ledger that an earlier process on this VM left, and born a
-	// moment at which that process was surely dead.
+	// predecessorLedger is the ledger of an earlier process on this VM, and startClock a
+	// clock reading from when that process was certainly dead.
 	predecessorLedger Ledger
 	startClock        ClockReading
-	// leaseHolder is the process whose contact lease had not run out at the first
-	// read.
+	// leaseHolder is the incarnation on this VM whose contact lease had not expired when
+	// the store was read.
 	leaseHolder    string
 	contactLease   store.LeaseID // 0: none yet
 	contactWritten bool          // the contact key is bound to it
 	ledgerRevision int64
 	ledgerKnown    bool
 	recordsReadAt  time.Duration // of the last read of all records
-	// lastContact is when the last write was sent that was sent in contact; it may have
-	// landed whatever became of its answer. Out of contact all spending beyond the
-	// ceilings is counted from there, and so are all ledgers written meanwhile.
+	// lastContact is when the last write was sent while the store was reachable. It may
+	// have been stored even if the response was lost. Out of contact, spending above the
+	// ceilings is limited by the time since then, also in ledgers written meanwhile.
 	lastContact ClockReading
 }
 
-// New makes a keeper without grants. Run fetches the first ones.
-func New(o Options) *GrantManager {
+// New returns a GrantManager without grants. Run draws the first ones.
+func New(opts Options) *GrantManager {
 	return &GrantManager{
-		o: o, startClock: o.Clock(), grants: make(map[string]*grant), holderDownAt: make(map[string]time.Duration),
+		opts: opts, startClock: opts.Clock(), grants: make(map[string]*grant), holderDownAt: make(map[string]time.Duration),
 		vmAddresses: make(map[string]string), unreached: make(map[string]time.Duration),
 		gatherDue: make(chan struct{}, 1), changed: make(chan struct{}), wake: make(chan struct{}, 1),
 	}
 }
 
-// contactAge is how old the last contact is; zero in contact, where the ceilings hold.
+// contactAge returns the time since the last contact with the store. It is zero in
+// contact, where the ceilings hold.
 func (m *GrantManager) contactAge() time.Duration {
 	if !m.storeDown {
 		return 0
 	}
-	return m.o.Clock().Steady - m.lastContact.Steady
+	return m.opts.Clock().Steady - m.lastContact.Steady
 }
 
-// Reservation sets tokens aside for one request.
+// Reservation holds tokens for one request.
 type Reservation struct {
 	manager *GrantManager
 	grant   *grant
@@ -147,7 +149,7 @@
 	once    sync.Once
 }
 
-// Settle books what the request used and frees the rest. Only the first call counts.
+// Settle records what the request used and frees the rest. Only the first call counts.
 func (r *Reservation) Settle(used int64) {
 	if r == nil {
 		return
@@ -155,8 +157,8 @@
 	r.once.Do(func() {
 		r.manager.mu.Lock()
 		defer r.manager.mu.Unlock()
-		// What was delivered beyond the reservation can't be unspent; it is booked
-		// whole, and the available rest goes below zero until the next draw.
+		// Use beyond the reservation can't be undone. It is recorded in full, and the
+		// available tokens may be negative until the next draw.
 		r.grant.settle(r.tokens, used)
 	})
 }
@@ -177,40 +179,41 @@
 	}
 }
 
-// Pauses between the talks with the store.
+// Intervals and limits of calls to the store.
 const (
-	// ledgerInterval bounds the age of the last contact: what a router's successor can't free
-	// grows with it.
+	// ledgerInterval bounds the time since the last contact. The longer it is, the less of
+	// a grant a successor can free.
 	ledgerInterval = 700 * time.Millisecond
-	// readInterval bounds the reads of the records while a budget is short.
+	// readInterval is the time between reads of the records while tokens are short.
 	readInterval = 1500 * time.Millisecond
-	// syncPause keeps a router with many small draws from calling without pause.
+	// syncPause limits the rate of calls of a router with many small draws.
 	syncPause = 40 * time.Millisecond
-	// conflictBackoff spreads the writers of a record that race for it: each race lost doubles the
-	// random part of the pause, up to racesMost times.
+	// conflictBackoff spreads concurrent writers of a record: each conflict doubles the
+	// random part of the pause, up to maxConflictDoublings times.
 	conflictBackoff      = 10 * time.Millisecond
 	maxConflictDoublings = 5
-	// minOutagePause is the first pause while the store is away; it doubles up to awayMost, since
-	// a store that refuses is paid for each call, and a return is noticed soon enough.
+	// minOutagePause is the first pause while the store is unreachable. It doubles up to
+	// maxOutagePause, since calls are paid for also when the store refuses them, and its
+	// return is still noticed soon enough.
 	minOutagePause = 250 * time.Millisecond
 	maxOutagePause = 500 * time.Millisecond
-	// idleOutagePause is the pause of a router that holds nothing: it lends nothing and needs the
-	// store for draws of its own only, which its accounts' homes make for it.
+	// idleOutagePause is the pause of a router that holds no tokens: it has nothing to lend,
+	// and the accounts' homes draw for it.
 	idleOutagePause = time.Second
-	// callTimeout is far above the store's usual few milliseconds, and short
-	// beside the time a caller waits.
+	// callTimeout is far above the few milliseconds that the store usually takes, and well
+	// below the time that callers wait.
 	callTimeout = 600 * time.Millisecond
-	// maxTxnAccounts keeps a transaction, two rows an account and two for the ledger,
-	// within the store's 32.
+	// maxTxnAccounts keeps a transaction within the store's limit of 32 rows: it has two
+	// per account and two for the ledger.
 	maxTxnAccounts = 14
 )
 
-// Run talks with the store until ctx ends.
+// Run keeps the grants up to date with the store until ctx ends.
 func (m *GrantManager) Run(ctx context.Context) {
 	var tasks conc.WaitGroup
 	defer tasks.Wait()
 	tasks.Go(func() { m.gatherLoop(ctx) })
-	tasks.Go(func() { m.sweepLoop(ctx) }) // a home that doesn't answer must not hold up the ledger
+	tasks.Go(func() { m.sweepLoop(ctx) }) // separate, since an unresponsive home must not delay the ledger
 	ticker := time.NewTicker(ledgerInterval)
 	defer ticker.Stop()
 	for {
@@ -236,8 +239,8 @@
 	return m.storeDown
 }
 
-// nextPause is the wait until the next round may begin. While the store is away the
-// next round is due by itself, so that its return is noticed soon.
+// nextPause returns the wait before the next round. While the store is unreachable it also
+// makes the next round due, so that the store's return is noticed soon.
 func (m *GrantManager) nextPause() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -253,7 +256,7 @@
 	return min(minOutagePause<<min(m.downRounds-1, 4), maxOutagePause)
 }
 
-// conflictPause is the random part of a pause after lost races for a record; zero without.
+// conflictPause returns a random wait after conflicts, or zero if there were none.
 func (m *GrantManager) conflictPause() time.Duration {
 	if m.conflicts == 0 {
 		return 0
@@ -261,8 +264,8 @@
 	return rand.N(conflictBackoff << min(m.conflicts, maxConflictDoublings))
 }
 
-// syncStore brings records, grants and reservations in line once. refresh says that the
-// ledger is to be written in any case.
+// syncStore runs one round: it reads the records if needed and commits a draw if one is
+// due. refreshLedger is passed on to plan.
 func (m *GrantManager) syncStore(ctx context.Context, refreshLedger bool) {
 	defer m.broadcast()
 	if (m.needsRead() || m.isShort()) && !m.readRecords(ctx) {
@@ -273,20 +276,20 @@
 	}
 }
 
-// renewContactLease renews the contact lease, or gets one, right after a write landed.
+// renewContactLease renews the contact lease, or gets one, right after a committed write.
 func (m *GrantManager) renewContactLease(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if m.contactLease != 0 {
-		err := m.o.Store.Renew(ctx, m.contactLease)
+		err := m.opts.Store.Renew(ctx, m.contactLease)
 		if !errors.Is(err, store.ErrLeaseGone) {
-			return // another failure is met by the next write
+			return // the next write will find any other failure
 		}
 		m.contactLease, m.contactWritten = 0, false
 	}
-	lease, err := m.o.Store.Grant(ctx, contactLeaseTTL)
+	lease, err := m.opts.Store.Grant(ctx, contactLeaseTTL)
 	if err != nil {
-		m.o.Log.Emit(event.LeaseLost, slog.String("lease_of", "contact"), slog.Any(event.KeyCause, err))
+		m.opts.Log.Emit(event.LeaseLost, slog.String("lease_of", "contact"), slog.Any(event.KeyCause, err))
 		return
 	}
 	m.contactLease = lease
@@ -299,10 +302,10 @@
 	m.changed = make(chan struct{})
 }
 
-// needsRead says whether a record is not known as it is: never read, or a write
-// of it was not answered.
+// needsRead reports whether the present state of a record or of the ledger is unknown: it
+// was never read, or a write was not answered.
 func (m *GrantManager) needsRead() bool {
-	budgets := m.o.Budgets()
+	budgets := m.opts.Budgets()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.ledgerKnown {
@@ -316,24 +319,24 @@
 	return false
 }
 
-// isShort says whether a router lacks more than a record can give, as it was last
-// seen. Others may have returned or freed tokens since, which nothing but another
-// read shows: without it a home that found all granted elsewhere at its start
-// never draws again.
+// isShort reports whether this router wants more tokens than a record can give, as last
+// read. Others may have returned or freed tokens since, which only another read shows.
+// Without it a home that found the whole budget granted at its start would never draw.
 func (m *GrantManager) isShort() bool {
-	budgets := m.o.Budgets()
+	budgets := m.opts.Budgets()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.o.Clock().Steady-m.recordsReadAt < readInterval {
+	if m.opts.Clock().Steady-m.recordsReadAt < readInterval {
 		return false
 	}
 	for account, prepaid := range budgets {
 		g := m.grant(account)
-		left := g.granted - g.used()
-		wanted := max(g.waitingTokens, int64(refillThreshold*float64(g.headroom(grantHorizon, int64(initialGrantShare*float64(prepaid)), m.role(g)))))
-		// A router that wants nothing is never short, also where it has used a little more
-		// than it got: all of a fleet read all records each 1.5 s for that.
-		if wanted > 0 && left < wanted && g.ungranted(prepaid) < wanted-left {
+		unused := g.granted - g.used()
+		wantedTokens := max(g.waitingTokens, int64(refillThreshold*float64(g.headroom(grantHorizon, int64(initialGrantShare*float64(prepaid)), m.role(g)))))
+		// A router that wants no tokens is not short, even if it has used slightly more
+		// than it got. Otherwise all routers of a fleet would read all records every
+		// readInterval.
+		if wantedTokens > 0 && unused < wantedTokens && g.ungranted(prepaid) < wantedTokens-unused {
 			return true
 		}
 	}
@@ -343,19 +346,19 @@
 func (m *GrantManager) readRecords(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	budgets := m.o.Budgets()
-	snapshot, err := m.o.Store.Read(ctx, m.o.Prefix)
-	m.noteContact(err)
+	budgets := m.opts.Budgets()
+	snapshot, err := m.opts.Store.Read(ctx, m.opts.Prefix)
+	m.recordContact(err)
 	if err != nil {
 		return false
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.recordsReadAt = m.o.Clock().Steady
+	m.recordsReadAt = m.opts.Clock().Steady
 	found := make(map[string]bool, len(snapshot.Items))
 	m.ledgerKnown, m.ledgerRevision = true, 0
 	for _, item := range snapshot.Items {
-		key := strings.TrimPrefix(item.Key, m.o.Prefix)
+		key := strings.TrimPrefix(item.Key, m.opts.Prefix)
 		if account, isRecord := strings.CutPrefix(key, AccountKeyPrefix); isRecord {
 			found[account] = true
 			m.applyRecordItem(m.grant(account), item)
@@ -363,10 +366,10 @@
 		if vm, isLedger := strings.CutPrefix(key, ledgerKeyPrefix); isLedger {
 			m.vmAddresses[vm] = ledgerAddress(item.Value)
 		}
-		if key == ledgerKeyPrefix+m.o.VM {
+		if key == ledgerKeyPrefix+m.opts.VM {
 			m.applyLedgerItem(item)
 		}
-		if key == contactKeyPrefix+m.o.VM {
+		if key == contactKeyPrefix+m.opts.VM {
 			m.leaseHolder = string(item.Value)
 		}
 	}
@@ -378,29 +381,29 @@
 	return true
 }
 
-// applyRecordItem takes a record as the store has it.
+// applyRecordItem takes over a stored record.
 func (m *GrantManager) applyRecordItem(g *grant, item store.Item) {
 	if int64(item.Revision) < g.revision {
 		return
 	}
 	record, err := DecodeRecord(item.Value)
 	if err != nil {
-		m.o.Log.Emit(event.InvariantBroken, slog.String(event.KeyBudget, g.account), slog.Any(event.KeyCause, err))
+		m.opts.Log.Emit(event.InvariantBroken, slog.String(event.KeyBudget, g.account), slog.Any(event.KeyCause, err))
 		return
 	}
-	g.applyRecord(record, int64(item.Revision), record.GrantEntry(m.o.VM, m.o.Incarnation))
+	g.applyRecord(record, int64(item.Revision), record.GrantEntry(m.opts.VM, m.opts.Incarnation))
 }
 
-// applyLedgerItem takes this VM's ledger as the store has it. Ceilings of this process's own
-// are not taken from it: an unanswered write may still land and lower them.
+// applyLedgerItem takes over this VM's stored ledger. Allowances are not taken from a
+// ledger of this process, since an unanswered write may still take effect and lower them.
 func (m *GrantManager) applyLedgerItem(item store.Item) {
 	m.ledgerRevision = int64(item.Revision)
 	ledger, err := DecodeLedger(item.Value)
 	if err != nil {
-		m.o.Log.Emit(event.InvariantBroken, slog.String("key", item.Key), slog.Any(event.KeyCause, err))
+		m.opts.Log.Emit(event.InvariantBroken, slog.String("key", item.Key), slog.Any(event.KeyCause, err))
 		return
 	}
-	if ledger.Incarnation != m.o.Incarnation {
+	if ledger.Incarnation != m.opts.Incarnation {
 		m.predecessorLedger = ledger
 	}
 }
--- a/internal/escrow/lend.go
+++ b/internal/escrow/lend.go
@@ -42,9 +42,9 @@
 	r.grant.reserved -= loan.Tokens
 	loan.Used = r.grant.used()
 	r.grant.lent += loan.Tokens
-	loan.Spent = r.grant.netSpent() - r.grant.recentlyLent.sum(m.o.Clock().Steady)
+	loan.Spent = r.grant.netSpent() - r.grant.recentlyLent.sum(m.opts.Clock().Steady)
 	r.grant.usedSinceRateUpdate += loan.Tokens
-	r.grant.recentlyLent.add(loan.Tokens, m.o.Clock().Steady)
+	r.grant.recentlyLent.add(loan.Tokens, m.opts.Clock().Steady)
 	return loan
 }
 
@@ -53,7 +53,7 @@
 func (m *GrantManager) refreshStandby(g *grant) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	g.lastAskedAt = m.o.Clock().Steady
+	g.lastAskedAt = m.opts.Clock().Steady
 }
 
 // drawForLoan draws the missing tokens of a loan, and returns the reason if it can't.
@@ -61,7 +61,7 @@
 	if r.missing == 0 {
 		return NoShortage
 	}
-	if _, known := m.o.Budgets()[r.grant.account]; !known {
+	if _, known := m.opts.Budgets()[r.grant.account]; !known {
 		return StoreUnreachable // just started: no configuration yet, so the budget is unknown
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), lendDrawTimeout)
@@ -70,7 +70,7 @@
 	if err == nil {
 		return NoShortage
 	}
-	m.o.Log.Emit(event.LoanShort, slog.String(event.KeyBudget, r.grant.account), slog.Int64("missing", r.missing), slog.Any(event.KeyCause, err))
+	m.opts.Log.Emit(event.LoanShort, slog.String(event.KeyBudget, r.grant.account), slog.Int64("missing", r.missing), slog.Any(event.KeyCause, err))
 	short := shortageOf(err)
 	if short == StoreUnreachable && !m.isStoreDown() {
 		return DrawPending
@@ -126,7 +126,7 @@
 	defer m.mu.Unlock()
 	byHome := make(map[string]map[string]int64)
 	for account, g := range m.grants {
-		address := m.o.Home(account)
+		address := m.opts.Home(account)
 		tokens := g.available(m.contactAge())
 		if m.role(g) != borrower || tokens <= 0 {
 			continue
@@ -143,7 +143,7 @@
 // sendTokens transfers tokens, which the caller has counted as lent, to another router. If the
 // transfer fails they are available again.
 func (m *GrantManager) sendTokens(ctx context.Context, address string, tokens map[string]int64) {
-	if m.o.Peers.HandOver(ctx, address, tokens) {
+	if m.opts.Peers.HandOver(ctx, address, tokens) {
 		return
 	}
 	m.mu.Lock()
@@ -165,7 +165,7 @@
 		}
 	}
 	m.mu.Unlock()
-	m.o.Log.Emit(event.TokensHandedOver, slog.String(event.KeyRouter, address), slog.Int("accounts", len(tokensByAccount)))
+	m.opts.Log.Emit(event.TokensHandedOver, slog.String(event.KeyRouter, address), slog.Int("accounts", len(tokensByAccount)))
 	m.sendTokens(ctx, address, tokensByAccount)
 }
 
--- a/internal/escrow/outage_test.go
+++ b/internal/escrow/outage_test.go
@@ -124,7 +124,7 @@
 // reserveError is what a request of 8,000 tokens is refused with. The records count as read
 // just now, so that no round with the store is waited for.
 func reserveError(m *GrantManager) error {
-	m.recordsReadAt = m.o.Clock().Steady
+	m.recordsReadAt = m.opts.Clock().Steady
 	_, err := m.Reserve(context.Background(), "boatyard", 8_000)
 	return err
 }
@@ -189,7 +189,7 @@
 	b.home = "home"
 	peers := &standbyPeers{}
 	m := b.newManager("p1", peers)
-	m.o.Holders = func(string) []string { return []string{"home", "standby"} }
+	m.opts.Holders = func(string) []string { return []string{"home", "standby"} }
 	m.syncStore(context.Background(), true)
 	_, err := m.Reserve(context.Background(), "boatyard", 8_000)
 	c.Assert(err, qt.IsNil)
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -130,11 +130,11 @@
 	defer m.mu.Unlock()
 	if waiterID == "" {
 		m.lastWaiterID++
-		waiterID = m.o.Incarnation + "/" + strconv.FormatInt(m.lastWaiterID, 10)
+		waiterID = m.opts.Incarnation + "/" + strconv.FormatInt(m.lastWaiterID, 10)
 	}
 	r := &pendingReservation{manager: m, grant: m.grant(account), tokens: tokens, missing: tokens, queued: queued, waiterID: waiterID}
 	r.fill()
-	if _, short := r.grant.nextCeiling(r.grant.granted, m.o.Budgets()[account], m.role(r.grant), m.roundTrip); short {
+	if _, short := r.grant.nextCeiling(r.grant.granted, m.opts.Budgets()[account], m.role(r.grant), m.roundTrip); short {
 		m.wakeUp()
 	}
 	return r
@@ -156,7 +156,7 @@
 // outage: a queued one takes all that it needs once it is admitted, any other only what the
 // queue doesn't wait for.
 func (r *pendingReservation) outageShare(available int64) int64 {
-	now := r.manager.o.Clock().Steady
+	now := r.manager.opts.Clock().Steady
 	if !r.queued {
 		return available - r.grant.queue.queuedTokens(now)
 	}
@@ -259,14 +259,14 @@
 // recordsFresh reports whether the records were read recently enough to refuse a request at
 // once, without another round with the store that would show the same.
 func (m *GrantManager) recordsFresh() bool {
-	return m.recordsReadAt > 0 && m.o.Clock().Steady-m.recordsReadAt < readInterval
+	return m.recordsReadAt > 0 && m.opts.Clock().Steady-m.recordsReadAt < readInterval
 }
 
 // exceedsRecord reports whether the missing tokens exceed the rest of this router's grant and
 // what the record has left to grant.
 func (m *GrantManager) exceedsRecord(r *pendingReservation) bool {
 	g := r.grant
-	return g.ungranted(m.o.Budgets()[g.account])+g.granted-g.used() < r.missing
+	return g.ungranted(m.opts.Budgets()[g.account])+g.granted-g.used() < r.missing
 }
 
 func (m *GrantManager) stopWaiting(r *pendingReservation) {
--- a/internal/escrow/sparselog.go
+++ b/internal/escrow/sparselog.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// sparseLogEvery is the least time between two lines of a sparseLog: often enough to tell
-// what a refusal of that second was for.
-const sparseLogEvery = time.Second
+// sparseLogInterval is the minimum time between two lines of a sparseLog: short enough to
+// explain the refusals of each second.
+const sparseLogInterval = time.Second
 
-// sparseLog spaces lines that tell the same again and again. Each request that is refused
-// for its budget has a line of its own; another one beside it, with the state of the
-// budget, doubled the output of a router and halved the time that kept logs reach back.
+// sparseLog limits the rate of repetitive log lines. Each request refused for lack of
+// budget is logged already; a second line with the state of the budget for each of them
+// would double the log volume and halve the time that retained logs cover.
 type sparseLog struct {
-	next     time.Duration // on the steady clock
-	unlogged int
+	next       time.Duration // on the monotonic clock
+	suppressed int
 }
 
-// due says whether a line may be written now, and else counts it as not written.
+// due reports whether a line may be logged now, and otherwise counts it as suppressed.
 func (l *sparseLog) due(now time.Duration) bool {
 	if now < l.next {
-		l.unlogged++
+		l.suppressed++
 		return false
 	}
-	l.next = now + sparseLogEvery
+	l.next = now + sparseLogInterval
 	return true
 }
 
-// take returns how many lines were not written since the last one that was.
-func (l *sparseLog) take() int {
-	unlogged := l.unlogged
-	l.unlogged = 0
-	return unlogged
+// takeSuppressed returns the number of lines suppressed since the last call, and resets it.
+func (l *sparseLog) takeSuppressed() int {
+	suppressed := l.suppressed
+	l.suppressed = 0
+	return suppressed
 }
--- a/internal/escrow/sparselog_test.go
+++ b/internal/escrow/sparselog_test.go
@@ -11,9 +11,9 @@
 func TestSparseLogTellsOnceASecond(t *testing.T) {
 	l, now := sparseLog{}, time.Minute
 	qt.Assert(t, l.due(now), qt.IsTrue)
-	qt.Assert(t, l.take(), qt.Equals, 0)
+	qt.Assert(t, l.takeSuppressed(), qt.Equals, 0)
 	qt.Assert(t, l.due(now+1), qt.IsFalse)
-	qt.Assert(t, l.due(now+sparseLogEvery-1), qt.IsFalse)
-	qt.Assert(t, l.due(now+sparseLogEvery), qt.IsTrue)
-	qt.Assert(t, l.take(), qt.Equals, 2)
+	qt.Assert(t, l.due(now+sparseLogInterval-1), qt.IsFalse)
+	qt.Assert(t, l.due(now+sparseLogInterval), qt.IsTrue)
+	qt.Assert(t, l.takeSuppressed(), qt.Equals, 2)
 }
--- a/internal/escrow/stop.go
+++ b/internal/escrow/stop.go
@@ -45,14 +45,14 @@
 	defer m.mu.Unlock()
 	d := draw{}
 	for _, g := range m.grants {
-		if !g.recordKnown || g.record.GrantEntry(m.o.VM, m.o.Incarnation).Seq == 0 || len(d.grants) == maxTxnAccounts {
+		if !g.recordKnown || g.record.GrantEntry(m.opts.VM, m.opts.Incarnation).Seq == 0 || len(d.grants) == maxTxnAccounts {
 			continue
 		}
 		used := max(0, min(g.granted, g.used()))
 		g.granted = min(g.granted, used)
-		d.pendingRevision = append(d.pendingRevision, g.pendingRevision)
+		d.pendingRevisions = append(d.pendingRevisions, g.pendingRevision)
 		d.grants = append(d.grants, g)
-		d.putRecord(m.accountKey(g), g.revision, g.record.WithoutEntry(m.o.VM, m.o.Incarnation, used, m.maxSpent(&d, g)))
+		d.putRecord(m.accountKey(g), g.revision, g.record.WithoutEntry(m.opts.VM, m.opts.Incarnation, used, m.maxSpent(&d, g)))
 	}
 	return d, len(d.grants) > 0
 }
@@ -61,7 +61,7 @@
 func (m *GrantManager) commitReturn(ctx context.Context, d draw) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	result, err := m.o.Store.Commit(ctx, d.txn)
+	result, err := m.opts.Store.Commit(ctx, d.txn)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if errors.Is(err, store.ErrConflict) {
@@ -70,8 +70,8 @@
 	}
 	if errors.Is(err, store.ErrUnavailable) {
 		for i, g := range d.grants { // nothing was written: the grants are unchanged
-			g.pendingRevision = d.pendingRevision[i]
-			g.applyRecord(g.record, g.revision, g.record.GrantEntry(m.o.VM, m.o.Incarnation))
+			g.pendingRevision = d.pendingRevisions[i]
+			g.applyRecord(g.record, g.revision, g.record.GrantEntry(m.opts.VM, m.opts.Incarnation))
 		}
 	}
 	if err != nil {
@@ -80,7 +80,7 @@
 	m.logClosedGrants(d)
 	for i, g := range d.grants {
 		g.record, g.revision = d.records[i], int64(result.Revision)
-		m.o.Log.Emit(event.GrantsReturned, slog.String(event.KeyBudget, g.account), slog.Int64("spent", g.spent))
+		m.opts.Log.Emit(event.GrantsReturned, slog.String(event.KeyBudget, g.account), slog.Int64("spent", g.spent))
 	}
 	return nil
 }
--- a/internal/escrow/world_test.go
+++ b/internal/escrow/world_test.go
@@ -336,7 +336,7 @@
 // useUp is use at one router until all is granted, and what it gathers then from others.
 func (w *cluster) useUp(*rapid.T) {
 	r, account := w.router("router"), w.account()
-	r.keeper.o.Peers = worldPeers{w: w, own: r}
+	r.keeper.opts.Peers = worldPeers{w: w, own: r}
 	for range rapid.IntRange(1, 20).Draw(w.t, "requests") {
 		h := r.keeper.newPendingReservation(account, rapid.Int64Range(1, 15_000).Draw(w.t, "tokens"), true, "")
 		for range 3 {
