--- a/internal/node/homes.go
+++ b/internal/node/homes.go
@@ -12,9 +12,9 @@
 	"chicorytiller.example/chicorytiller/internal/fleet"
 )
 
-// homeAddress is the address of the router that holds an account's grant; empty if it
-// is this one. Rendezvous hashing moves few accounts when a router comes or goes. A
-// router that stops is home of nothing: it hands its grants on while it still serves.
+// homeAddress returns the address of the router that holds an account's grant, or "" if that is
+// this router. Rendezvous hashing moves few accounts when a router joins or leaves. A stopping
+// router is home of no account: it hands over its grants while it still serves.
 func (n *Node) homeAddress(account string) string {
 	holders := n.holderAddresses(account)
 	if len(holders) == 0 {
@@ -23,10 +23,11 @@
 	return holders[0]
 }
 
-// holderAddresses are the addresses of the routers that hold an account's grant for all, by rank:
-// its home, and those that do while it has no contact with the store; empty for this one.
-// Without them each router draws for itself: their writes of one record race, and the budget
-// is left in small parts.
+// holderAddresses returns the addresses of the routers that may hold an account's grant for the
+// whole fleet, by rank: its home, then the standbys for a home that cannot reach the store. This
+// router's own address is "". Without common holders each router would draw from the budget for
+// itself: their writes to one record would conflict, and the budget would be split into small
+// parts.
 func (n *Node) holderAddresses(account string) []string {
 	members, version := n.members.Snapshot()
 	accounts := 0
@@ -38,7 +39,7 @@
 	return n.rankings.get(state, key, func() []string { return n.rank(members, key, state.stopping) })
 }
 
-// rank works out the holders for a key.
+// rank returns the addresses of the routers with the lowest ranks for key, in order.
 func (n *Node) rank(members []fleet.Member, key string, stopping bool) []string {
 	type candidate struct {
 		rank    float64
@@ -69,26 +70,26 @@
 	return addresses
 }
 
-// rankings keeps what was worked out from the list of routers, by key, for as long as that
-// list stays as it is: holders are wanted some times a request and for each account with each
-// ledger, and to work them out takes a look at all routers.
+// rankings caches, by key, what is computed from the list of routers until that list changes.
+// Holders are needed several times per request, and for each account whenever a ledger is
+// written, and computing them takes time proportional to the number of routers.
 type rankings[T any] struct {
 	mu    sync.Mutex
 	state fleetState
 	byKey map[string]T
 }
 
-// fleetState is what rankings depend on beside their key.
+// fleetState identifies the state of the fleet that rankings are computed from.
 type fleetState struct {
 	version  uint64 // of the list of routers
 	stopping bool
 }
 
-// maxCachedRankings bounds the keys kept: some accounts' in a small fleet, a few shares' in a
-// large one.
+// maxCachedRankings bounds the memory of a cache. In a small fleet the keys are accounts, in a
+// large one a few shards.
 const maxCachedRankings = 10_000
 
-// get returns what is kept for a key, or works it out.
+// get returns the cached value for key, or computes and caches it.
 func (r *rankings[T]) get(state fleetState, key string, compute func() T) T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,21 +106,23 @@
 
 // Homes of accounts in a large fleet.
 const (
-	// sharedHomesThreshold is the fleet from which on accounts share homes: each home writes its
-	// ledger all the time, and with one for each account those writes grow with the fleet.
-	// In a small fleet homes are few anyway, and one that dies holds up all its accounts.
+	// sharedHomesThreshold is the number of routers above which accounts are sharded over few
+	// homes. Each home writes its ledger continuously; if every account were ranked separately,
+	// those writes would grow with the fleet. A small fleet has few homes anyway, and the crash
+	// of a home delays all its accounts.
 	sharedHomesThreshold = 32
-	// minSharedHomes is how many homes there are then, and homesFor one more for so many
-	// routers: a home answers each request of its accounts.
+	// minSharedHomes is the minimum number of homes in a large fleet. There is one home per
+	// routersPerHome routers if that is more, since a home answers each request of its accounts.
 	minSharedHomes = 8
 	routersPerHome = 32
-	// maxAccountsPerHome bounds the accounts of a home: its ledger has some 80 bytes of each, and
-	// a value of the store is 1 MB at most.
+	// maxAccountsPerHome bounds the size of a home's ledger: an account takes about 80 bytes in
+	// it, and a value in the store may have 1 MB at most.
 	maxAccountsPerHome = 4000
 )
 
-// homeKey is what the routers are ranked by for an account: its own name, or in a large
-// fleet that of its share of the accounts. Whoever is lost, the next in rank is the same.
+// homeKey returns the key by which routers are ranked for an account: the account's name, or in a
+// large fleet the name of its shard. All accounts with one key have the same home and the same
+// standbys.
 func homeKey(account string, routers, accounts int) string {
 	if routers <= sharedHomesThreshold {
 		return account
--- a/internal/node/homes_bench_test.go
+++ b/internal/node/homes_bench_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// BenchmarkHolderAddresses is what it costs to name an account's holders in a large fleet; a request
-// asks for them some times.
+// BenchmarkHolderAddresses measures the lookup of an account's holders in a large fleet, which a
+// request does several times.
 func BenchmarkHolderAddresses(b *testing.B) {
 	n, _ := newUniformFleet(195)
 	b.Run("home", func(b *testing.B) {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -14,22 +14,24 @@
 )
 
 const (
-	// limitLeaseTTL is how long a record outlives the lease's grant, and limitLeaseUsed how long
-	// a lease takes new records: far longer than the pauses in which a limit is confirmed.
+	// limitLeaseTTL is the lifetime of the lease under which limits are recorded, and
+	// limitLeaseReuseTime how long new records are written under one lease. Both the latter and
+	// the time that remains are far longer than the interval at which a limit is confirmed.
 	limitLeaseTTL       = 5 * time.Minute
 	limitLeaseReuseTime = 2 * time.Minute
-	// limitSweepInterval is how often limits of servers that are gone are dropped.
+	// limitSweepInterval is how often the limits of removed servers are dropped.
 	limitSweepInterval = 30 * time.Second
 )
 
-// limitWriter writes the records of the limits that backend servers named.
+// limitWriter writes records of rate limits that backend servers announced to the store.
 type limitWriter struct {
 	node    *Node
 	lease   store.LeaseID
 	granted time.Time
 }
 
-// publishLimits tells the other routers of limits that backend servers named to this one.
+// publishLimits publishes to the other routers the rate limits that backend servers announced to
+// this one.
 func (n *Node) publishLimits(ctx context.Context) {
 	w := limitWriter{node: n}
 	sweep := time.NewTicker(limitSweepInterval)
@@ -55,7 +57,7 @@
 	}
 }
 
-// write writes one record. If that fails the record stays due.
+// write writes one record. If that fails the record remains due.
 func (w *limitWriter) write(ctx context.Context, record pacing.Record) {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
--- a/internal/node/limits_bench_test.go
+++ b/internal/node/limits_bench_test.go
@@ -11,8 +11,8 @@
 	"chicorytiller.example/chicorytiller/internal/request"
 )
 
-// BenchmarkChooseWhileLimited chooses among the servers of the planned size, of which a part
-// names a limit.
+// BenchmarkChooseWhileLimited measures the choice of a server in the largest planned fleet, where
+// some servers announce a rate limit.
 func BenchmarkChooseWhileLimited(b *testing.B) {
 	const routers, servers = 195, 3000
 	for _, limited := range []int{0, 30, 900} {
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -13,15 +13,15 @@
 	"chicorytiller.example/chicorytiller/internal/event"
 )
 
-// listener is one HTTP listener.
+// listener is one HTTP listener and its server.
 type listener struct {
 	ln     net.Listener
 	server *http.Server
 	log    *event.Log
 }
 
-// Limits of callers' connections. The configured idle time is shorter; a router
-// that closes later than callers expect loses nothing.
+// Limits on connections from callers. The idle time in the configuration is shorter than
+// idleTimeout: a router that closes a connection later than callers expect loses no requests.
 const (
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 75 * time.Second
@@ -35,8 +35,8 @@
 	}
 }
 
-// Listen opens the listeners. Addresses with port 0 get a free one; Settings tells
-// which afterwards.
+// Listen opens the listeners. Port 0 in an address selects a free port; Settings returns the
+// actual addresses afterwards.
 func (n *Node) Listen() error {
 	handlers := []struct {
 		address *string
@@ -64,7 +64,7 @@
 	return err
 }
 
-// listenOn opens a listener and notes the address that it got.
+// listenOn opens a listener and stores its actual address in *address.
 func listenOn(address *string) (net.Listener, error) {
 	l, err := net.Listen("tcp", *address)
 	if err != nil {
@@ -91,10 +91,10 @@
 	}
 }
 
-// closeTimeout lets answers that are being written end, on all listeners together.
+// closeTimeout is the time for responses in progress to complete, over all listeners.
 const closeTimeout = 100 * time.Millisecond
 
-// close lets what is being written end until ctx does, and then cuts it off.
+// close shuts the server down. Responses in progress may complete until ctx ends.
 func (l *listener) close(ctx context.Context) {
 	if l.server.Shutdown(ctx) != nil {
 		_ = l.server.Close() // the process ends
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -16,7 +16,7 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Metrics of one router; it implements forward.Metrics.
+// Metrics are the Prometheus metrics of one router. It implements forward.Metrics.
 type Metrics struct {
 	registry     *prometheus.Registry
 	firstByte    prometheus.Histogram
@@ -29,10 +29,10 @@
 	stale        *prometheus.CounterVec
 
 	mu     sync.Mutex
-	recent map[string]int // calls to the store since the last line of the log
+	recent map[string]int // calls to the store since they were last logged
 }
 
-// NewMetrics makes and registers the metrics.
+// NewMetrics creates and registers the metrics.
 func NewMetrics() *Metrics {
 	buckets := prometheus.ExponentialBuckets(0.005, 2, 12) // 5 ms to 10 s
 	m := &Metrics{
@@ -54,7 +54,7 @@
 	return m
 }
 
-// registerLimitedBackends exposes how many backend servers limit their requests.
+// registerLimitedBackends registers a gauge of the backend servers that limit their request rate.
 func (m *Metrics) registerLimitedBackends(count func() int) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "chicory_limited_backends",
 		Help: "Backend servers that name a limit of requests a second."}, func() float64 { return float64(count()) }))
@@ -76,7 +76,7 @@
 	m.retried.WithLabelValues(reason).Inc()
 }
 
-// Outcomes of calls to the store.
+// Values of the label outcome of calls to the store.
 const (
 	outcomeAnswered = "answered"
 	outcomeFailed   = "failed"
@@ -110,7 +110,8 @@
 	m.stale.WithLabelValues(prefix).Inc()
 }
 
-// takeRecentCalls returns the calls to the store since it was asked last.
+// takeRecentCalls returns the calls to the store since the last takeRecentCalls and resets the
+// counts.
 func (m *Metrics) takeRecentCalls() map[string]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -119,11 +120,11 @@
 	return recent
 }
 
-// storeCallLogInterval is how often the calls to the store are logged: seldom enough to cost
-// nothing, often enough to tell an outage's calls from those before it.
+// storeCallLogInterval is how often the calls to the store are logged: rarely enough that the cost
+// is negligible, often enough to tell the calls in an outage from those before it.
 const storeCallLogInterval = 10 * time.Second
 
-// logStoreCalls writes what the store is asked for until ctx ends, and once more then.
+// logStoreCalls periodically logs the calls to the store, and a last time when ctx ends.
 func (n *Node) logStoreCalls(ctx context.Context) {
 	ticker := time.NewTicker(storeCallLogInterval)
 	defer ticker.Stop()
@@ -142,7 +143,7 @@
 	}
 }
 
-// Handler serves the metrics as text.
+// Handler returns a handler that serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{}))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts one router together: what it follows in the store, what it
-// listens on, and its planned stop.
+// Package node assembles one router: its followers of the store, its listeners and its graceful
+// shutdown.
 package node
 
 import (
@@ -31,52 +31,52 @@
 	"chicorytiller.example/chicorytiller/internal/upstream"
 )
 
-// Keys of the fleet's own records.
+// Prefixes of the keys that routers write.
 const (
-	// MemberPrefix holds the routers' own entries, each under its VM's name.
+	// MemberPrefix holds the routers' entries, each under the name of its VM.
 	MemberPrefix     = "chicory/router/"
-	quarantinePrefix = "chicory/broken/"
-	fleetPrefix      = "chicory/" // of both
-	// BudgetPrefix holds what package escrow keeps.
+	quarantinePrefix = "chicory/broken/" // reports of quarantined requests, by content hash
+	fleetPrefix      = "chicory/"        // all records that fleetSink applies
+	// BudgetPrefix holds the records of package escrow.
 	BudgetPrefix = "chicory-budget/"
 )
 
-// Pace of the followers. Each call to the store is paid for: while nothing changes there
-// is one each wait and pause. The bounds on the age of what is known are the checks': see
+// Timing of the followers. Each call to the store costs money: while nothing changes, a follower
+// makes one call per wait and pause. The checks, not the watches, bound the age of the data: see
 // store.Follower.
 const (
-	// configWatchWait and configPause confirm the configuration each 1.2 s. configPause keeps a
-	// storm of versions from becoming a storm of calls.
+	// configWatchWait and configWatchPause confirm the configuration every 1.2 s. The pause keeps
+	// a burst of versions from causing a burst of calls.
 	configWatchWait  = 1150 * time.Millisecond
 	configWatchPause = 50 * time.Millisecond
-	// configCheckAfter leaves 0.4 s of the two seconds within which a version must be in force
-	// for a router that follows another, its second check and slow links.
+	// A version must be in force within two seconds. configCheckAfter leaves 0.4 s of them for a
+	// router that follows another one, for its second check and for slow links.
 	configCheckAfter = 1400 * time.Millisecond
-	// Of the time that a leaving server still serves, the entries of the servers are
-	// confirmed each half (watch) and tenth (pause), and checked after seven tenths.
+	// Timing of the follower of backend servers, as fractions of Settings.DrainTime, the time for
+	// which a leaving server keeps serving.
 	serversWatchWaitFraction  = 0.5
 	serversWatchPauseFraction = 0.1
 	serversCheckAfterFraction = 0.7
-	// minDrain bounds the calls where servers serve for a shorter time, or none.
+	// minDrain bounds the rate of calls if the configured drain time is shorter or zero.
 	minDrain = 500 * time.Millisecond
-	// serversBurst lets a few servers that leave one after the other be known at once.
-	// Where entries change all the time, it is a call each wait and pause.
+	// serversBurst lets a router see at once that a few servers leave one after the other. If
+	// entries change continuously there is only one call per wait and pause.
 	serversBurst = 4
 
-	// fleetWatchWait suits changes that are rare, fleetPause the times when they are not: after
-	// an outage each router enters itself again, and a call for each would be paid for.
+	// fleetWatchWait suits rare changes, fleetWatchPause bursts: after an outage every router
+	// registers again, and one paid call per registration would be expensive.
 	fleetWatchWait  = 2000 * time.Millisecond
 	fleetWatchPause = 300 * time.Millisecond
-	// fleetCheckAfter lets each router know a content that breaks servers within the three
-	// seconds after which it must not be sent any more. Callers leave a router that doesn't
-	// answer by themselves.
+	// fleetCheckAfter lets a report of a request that crashes servers reach each router within
+	// three seconds, after which no router may send the request any more. The removal of routers
+	// is less urgent: callers leave a router that does not answer by themselves.
 	fleetCheckAfter = 2600 * time.Millisecond
-	// watchMargin is the time an answer may take beyond its wait: over a link whose queue holds
-	// packets for half a second each way, and of a store that is slow. A call that hangs for
-	// longer puts nothing off, since the checks run beside it.
+	// watchMargin is the time that an answer may take beyond its wait. It allows for a slow store
+	// and a link that queues packets for half a second each way. A call that hangs delays nothing,
+	// since the checks run beside it.
 	watchMargin = 1200 * time.Millisecond
-	// relayWatchWait is how long a router that follows the store for others holds an answer
-	// back while it hears nothing; see relay.wait.
+	// relayWatchWait is how long a store reader may hold back its answer to another router while
+	// nothing changes; see relay.wait.
 	relayWatchWait = 500 * time.Millisecond
 )
 
@@ -112,15 +112,15 @@
 	metrics     *Metrics
 
 	policy atomic.Pointer[policy.Policy]
-	// configItem is what the policy was decoded from.
+	// configItem is the item that policy was decoded from.
 	configItem        atomic.Pointer[store.Item]
-	configMu          sync.Mutex             // orders changes of both
+	configMu          sync.Mutex             // held while policy and configItem are set
 	feeds             map[string]*store.Feed // by prefix
 	registry          *fleet.Registry
 	evacuated         *fleet.Evacuations
 	members           *fleet.Members
 	rankings          rankings[[]string]          // holders of accounts
-	serverRanks       rankings[pacing.SenderRank] // of this router, by start of a backend server
+	serverRanks       rankings[pacing.SenderRank] // of this router, by incarnation of a backend server
 	limits            *pacing.Limits
 	membership        membership
 	grants            *escrow.GrantManager
@@ -135,14 +135,14 @@
 	peerListener net.Listener
 
 	createdAt     time.Time
-	stopSignal    chan struct{} // closed when the stop begins
+	stopSignal    chan struct{} // closed when the shutdown starts
 	stopping      atomic.Bool
-	refusing      atomic.Bool  // takes no request at all any more
-	stopStartedAt atomic.Int64 // monotonic-free wall time of the stop, Unix ms
+	refusing      atomic.Bool  // refuses all requests
+	stopStartedAt atomic.Int64 // wall-clock time at which the shutdown started, Unix ms
 	inFlight      atomic.Int64
 }
 
-// New makes a node. incarnation is a name that no other process ever has.
+// New returns a node. incarnation must be unique among all processes ever started.
 func New(s *Settings, d Environment, log *event.Log, incarnation string) *Node {
 	n := &Node{settings: s, env: d, log: log, incarnation: incarnation, metrics: NewMetrics(), quarantineReports: make(chan uint64, maxPendingReports),
 		stopSignal: make(chan struct{}), createdAt: time.Now()}
@@ -188,24 +188,24 @@
 	return retry.Limits{Window: s.RetryWindow, Ratio: s.RetryRatio, Extra: s.RetryExtra}
 }
 
-// Reload puts changed settings in force. Listen addresses stay as they are.
+// Reload applies the retry limits of changed settings. Other settings need a restart.
 func (n *Node) Reload(s *Settings) {
 	n.retries.Set(retryLimits(s), n.retryShares())
 	n.log.Emit(event.SettingsReloaded, slog.Float64("retry_ratio", s.RetryRatio), slog.Float64("retry_extra", s.RetryExtra))
 }
 
-// maxMembershipWait is how long a router that started may miss itself in the list of
-// routers before it draws all the same.
+// maxMembershipWait is how long after its start a router waits to see itself in the list of
+// routers before it draws from budgets anyway.
 const maxMembershipWait = 3 * time.Second
 
-// membershipKnown says whether this router has seen the list of routers since it entered
-// it. Before that each router takes itself for the home of all accounts, and all of
-// them together would draw the whole of each budget.
+// membershipKnown reports whether this router has seen itself in the list of routers, or has
+// waited long enough. Before that each router considers itself the home of all accounts, and
+// routers that start together would each draw whole budgets.
 func (n *Node) membershipKnown() bool {
 	return time.Since(n.createdAt) > maxMembershipWait || n.members.Has(MemberPrefix+n.settings.VM)
 }
 
-// budgets lists the metered accounts and what they paid for.
+// budgets returns the prepaid amounts of the metered accounts, by account.
 func (n *Node) budgets() map[string]int64 {
 	p := n.policy.Load()
 	if p == nil || !n.membershipKnown() {
@@ -225,19 +225,20 @@
 	return max(1, len(n.members.List()))
 }
 
-// retryShares is the number of routers to divide the common part of the retry budget
-// by: some more than live, for those that join before all know of them.
+// retryShares returns the number of routers over which the shared part of the retry budget is
+// divided. It exceeds the number of live routers to allow for some that join before all others
+// know them.
 func (n *Node) retryShares() int {
 	const joinMargin = 1.5
 	return int(joinMargin*float64(n.routerCount())) + 1
 }
 
-// hasRoutingData says whether this router knows where requests go.
+// hasRoutingData reports whether this router has a configuration and backend servers.
 func (n *Node) hasRoutingData() bool {
 	return n.policy.Load() != nil && n.registry.View().Total > 0
 }
 
-// Ready says whether callers should come.
+// Ready reports whether this router is ready for callers.
 func (n *Node) Ready() bool {
 	return n.hasRoutingData() && n.membershipKnown() && !n.stopping.Load()
 }
@@ -247,7 +248,7 @@
 		Capacity: n.settings.Capacity}
 }
 
-// peerAddresses lists the other routers for peers.Client.
+// peerAddresses returns the peer addresses of the other routers.
 func (n *Node) peerAddresses() []string {
 	members := n.members.List()
 	addresses := make([]string, 0, len(members))
@@ -259,9 +260,9 @@
 	return addresses
 }
 
-// resolve names the routers for a caller. This router counts itself in as long as
-// it is ready, also when its own entry has lapsed with the store; but not while it
-// is isolated and knows others.
+// resolve returns the addresses of the routers that a caller should use. They may include this
+// router while it is ready, even if its own entry expired because the store is unreachable, but
+// not while it is isolated and knows other routers.
 func (n *Node) resolve(domain, caller string) []string {
 	members := n.members.List()
 	others := members[:0]
@@ -276,9 +277,9 @@
 	return entry.Choose(others, domain, caller)
 }
 
-// acceptAllTime is how long a stopping router still takes requests of any length:
-// callers come until what they were told of addresses is old. Later it takes only
-// those that surely end before the process does.
+// acceptAllTime is how long a stopping router still accepts all requests: callers use its address
+// until their cached addresses expire. After that it accepts only requests that are certain to
+// finish before the process exits.
 const acceptAllTime = 2500 * time.Millisecond
 
 func (n *Node) serve(ctx context.Context, r *request.Request, caller forward.Caller) {
@@ -292,16 +293,16 @@
 	n.forward.Serve(ctx, r, caller)
 }
 
-// abortOnPanic ends an answer after a fault of the program. The HTTP library would recover
-// it in silence: nobody would learn of it.
+// abortOnPanic logs a panic and aborts the response. It must be deferred. Otherwise net/http would
+// recover the panic and discard it, since the server's ErrorLog is off.
 func (n *Node) abortOnPanic(caller forward.Caller) {
 	if cause := recover(); cause != nil {
-		n.log.EmitPanic("the serving of a request", cause)
+		n.log.EmitPanic("serving a request", cause)
 		caller.Abort()
 	}
 }
 
-// finishesInTime says whether a stopping router may still take a request.
+// finishesInTime reports whether a stopping router may still accept a request.
 func (n *Node) finishesInTime(r *request.Request) bool {
 	since := time.Since(time.UnixMilli(n.stopStartedAt.Load()))
 	if since < acceptAllTime {
@@ -323,12 +324,12 @@
 	return 0
 }
 
-// Settings are the settings in force.
+// Settings returns the settings in force.
 func (n *Node) Settings() Settings {
 	return *n.settings
 }
 
-// Run serves, after Listen, until ctx ends, and then stops as planned.
+// Run serves until ctx ends and then shuts down gracefully. Listen must have been called before.
 func (n *Node) Run(ctx context.Context) {
 	background, endBackground := context.WithCancel(context.Background())
 	var tasks conc.WaitGroup
@@ -356,8 +357,8 @@
 	return n.feeds[prefix]
 }
 
-// Known implements peers.Knowledge: what another router that starts while the store is
-// away needs.
+// Known implements peers.Knowledge. It returns the state that another router needs if it starts
+// while the store is unreachable.
 func (n *Node) Known() peers.Known {
 	known := peers.Known{Servers: n.registry.Items(), Members: n.members.Items(), Limits: n.limits.Items()}
 	if item := n.configItem.Load(); item != nil {
