--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -188,7 +188,7 @@
 	return retry.Limits{Window: s.RetryWindow, Ratio: s.RetryRatio, Extra: s.RetryExtra}
 }
 
-// Reload applies the retry limits of changed settings. Other settings need a restart.
+// Reload applies the retry limits of changed settings. All other settings stay as they are.
 func (n *Node) Reload(s *Settings) {
 	n.retries.Set(retryLimits(s), n.retryShares())
 	n.log.Emit(event.SettingsReloaded, slog.Float64("retry_ratio", s.RetryRatio), slog.Float64("retry_extra", s.RetryExtra))
@@ -220,7 +220,7 @@
 	return paid
 }
 
-// routerCount is how many routerCount live, as far as known.
+// routerCount returns the number of known live routers, at least 1.
 func (n *Node) routerCount() int {
 	return max(1, len(n.members.List()))
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -11,7 +11,7 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Guards against whole budgets drawn by each of the routers that start together.
+// Guards against routers that start together and each draw whole budgets.
 func TestNoBudgetsBeforeMembershipIsKnown(t *testing.T) {
 	s := &Settings{VM: "vm-1", FailureDomain: "zone-1", CallerAddr: "127.0.0.1:1", PeerAddr: "127.0.0.1:2"}
 	n := New(s, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -14,24 +14,24 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// A few routers of each failure domain follow the store, and the others follow those: the
-// calls to the store then grow with the failure domains and not with the routers. Which
-// ones follows from the list of routers alone, so nothing has to be agreed on; views that
-// differ for a while cost some calls, since a router that does not follow the store itself
-// says so to those who ask it, and they ask the store.
+// A few routers of each failure domain, its store readers, follow the store, and the other routers
+// follow the store readers. The calls to the store thus grow with the number of failure domains
+// and not with the number of routers. The store readers are computed from the list of routers
+// alone, so no agreement protocol is needed. Routers whose lists differ for a while only make some
+// extra calls: a router that does not follow the store itself answers so, and whoever asked it
+// turns to the store.
 
-// routersPerStoreReader is one router that follows the store for so many of its failure domain: each
-// follower costs it some six small calls a second, a thousandth of a core.
+// routersPerStoreReader is the number of routers in a failure domain per store reader. Each
+// follower costs a store reader about six small calls per second, a thousandth of a core.
 const routersPerStoreReader = 32
 
-// minReaderCapacityFraction is the part of a failure domain's largest capacity that its readers have at
-// least. A reader passes each version of the configuration on to all its followers: that
-// fills the link of a small VM for seconds, its own reads of the store run out of time, and it
-// serves by an old version for as long.
+// minReaderCapacityFraction is the minimum capacity of a store reader as a fraction of the largest
+// in its failure domain. A store reader sends each version of the configuration to all its
+// followers. That would saturate the link of a small VM for seconds, during which its own reads
+// from the store time out and it serves with an old version.
 const minReaderCapacityFraction = 0.5
 
-// storeReaders are the routers that follow the store for a failure domain, of all routers that
-// take callers.
+// storeReaders returns the routers of members that follow the store for a failure domain.
 func storeReaders(members []fleet.Member, domain string) []fleet.Member {
 	var candidates []fleet.Member
 	largest := 0.0
@@ -41,18 +41,18 @@
 			largest = max(largest, m.Capacity)
 		}
 	}
-	count := 1 + len(candidates)/routersPerStoreReader
+	readerCount := 1 + len(candidates)/routersPerStoreReader
 	candidates = slices.DeleteFunc(candidates, func(m fleet.Member) bool { return m.Capacity < minReaderCapacityFraction*largest })
 	const key = "follows the store"
 	sort.Slice(candidates, func(i, j int) bool { return candidates[i].Rank(key) < candidates[j].Rank(key) })
-	return candidates[:min(len(candidates), count)]
+	return candidates[:min(len(candidates), readerCount)]
 }
 
-// relay is where this router learns from; it implements store.Relay.
+// relay reads from the store readers of this router's failure domain. It implements store.Relay.
 type relay struct {
 	node *Node
-	// wait is how long another router may hold its answer back. A router that froze or
-	// lost its power is noticed that much later, and some round trips.
+	// wait is how long another router may hold back its answer. It delays, by that time and a few
+	// round trips, the detection of a router that froze or lost power.
 	wait time.Duration
 }
 
@@ -61,25 +61,26 @@
 	return len(r.addresses()) > 0
 }
 
-// addresses are the routers to ask, in an order that spreads those who ask. There are
-// none if this router is one of them, or not yet in the list itself.
+// addresses returns the addresses of the store readers, in an order that differs between routers
+// to spread the load. It returns none if this router is a store reader or not yet in the list of
+// routers.
 func (r *relay) addresses() []string {
-	own := r.node.settings.VM
+	ownName := r.node.settings.VM
 	members := r.node.members.List()
 	listed := false
 	for _, m := range members {
-		listed = listed || m.Name == own
+		listed = listed || m.Name == ownName
 	}
 	if !listed {
 		return nil
 	}
 	chosen := storeReaders(members, r.node.settings.FailureDomain)
 	for _, m := range chosen {
-		if m.Name == own {
+		if m.Name == ownName {
 			return nil
 		}
 	}
-	order := func(m fleet.Member) uint64 { return xxhash.Sum64String(own + "/" + m.Name) }
+	order := func(m fleet.Member) uint64 { return xxhash.Sum64String(ownName + "/" + m.Name) }
 	sort.Slice(chosen, func(i, j int) bool { return order(chosen[i]) < order(chosen[j]) })
 	addresses := make([]string, 0, len(chosen))
 	for _, m := range chosen {
@@ -100,7 +101,7 @@
 	return answer.Changes, err
 }
 
-// ask asks one router after the other until one can tell.
+// ask sends the request to one store reader after the other until one has an answer.
 func (r *relay) ask(ctx context.Context, request peers.FollowRequest) (peers.FollowAnswer, error) {
 	err := error(store.ErrNoFeed)
 	for _, address := range r.addresses() {
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -25,7 +25,7 @@
 	*memstore.Store
 	mu    sync.Mutex
 	calls int
-	down  bool // for this router only
+	down  bool // the store is unreachable for this router
 }
 
 func (s *countingStore) record() bool {
@@ -69,7 +69,8 @@
 	return s.Store.Watch(ctx, prefix, after, wait)
 }
 
-// relayFleet is routers of one failure domain that only follow the store and each other.
+// relayFleet is a fleet of routers in one failure domain of which only the followers and the peer
+// servers run.
 type relayFleet struct {
 	*qt.C
 	store       *memstore.Store
@@ -78,7 +79,7 @@
 	storeReader string // the VM that follows the store for the others
 }
 
-// decodeTestConfig decodes a configuration that is nothing but its version.
+// decodeTestConfig decodes a configuration that consists only of its version.
 func decodeTestConfig(item store.Item) (*policy.Policy, error) {
 	version := int64(0)
 	err := json.Unmarshal(item.Value, &version)
@@ -110,7 +111,7 @@
 		f.Cleanup(func() { _ = n.peerListener.Close() }) // the test is over
 		f.waitFor(func() bool { return len(n.members.List()) == routers && n.policy.Load() != nil })
 		if !(&relay{node: n}).Used() {
-			f.Assert(f.storeReader, qt.Equals, "", qt.Commentf("one reads for this few"))
+			f.Assert(f.storeReader, qt.Equals, "", qt.Commentf("a fleet of this size has one store reader"))
 			f.storeReader = vm
 		}
 	}
@@ -118,7 +119,7 @@
 	return f
 }
 
-// run starts what a router needs to follow and to be followed.
+// run starts a router's followers and its peer server.
 func (f *relayFleet) run(n *Node) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks conc.WaitGroup
@@ -131,7 +132,7 @@
 	})
 }
 
-// waitFor polls until something holds. The test's own timeout bounds it.
+// waitFor polls until the condition holds. Only the timeout of the test run bounds it.
 func (f *relayFleet) waitFor(holds func() bool) {
 	for !holds() {
 		time.Sleep(5 * time.Millisecond)
@@ -142,18 +143,18 @@
 	return f.nodes[vm].policy.Load().Version
 }
 
-// waitForVersion waits until all routers but some serve by a version.
+// waitForVersion waits until all routers except one have a version of the configuration.
 func (f *relayFleet) waitForVersion(version int64, except string) {
 	for vm := range f.nodes {
 		f.waitFor(func() bool { return vm == except || f.version(vm) == version })
 	}
 }
 
-// Guards against calls to the store by each router of a failure domain.
+// Guards against store calls by every router of a failure domain.
 func TestOnlyStoreReaderCallsStore(t *testing.T) {
 	f := newRelayFleet(t, 4)
-	// Each learned everything from the store at its start, and may be in the last watch of
-	// that time, so the first changes may still cost calls.
+	// Each router read from the store at its start, and may still have a watch from then in
+	// progress, so the first changes may cause some calls.
 	version := int64(1)
 	f.waitFor(func() bool {
 		before := f.callsByOthers()
@@ -166,7 +167,7 @@
 	})
 }
 
-// callsByOthers is the calls of all routers but the reader.
+// callsByOthers returns the number of store calls of all routers but the store reader.
 func (f *relayFleet) callsByOthers() int {
 	sum := 0
 	for vm, s := range f.stores {
@@ -177,7 +178,7 @@
 	return sum
 }
 
-// Guards against old knowledge at routers whose reader lost the store.
+// Guards against stale routers whose store reader cannot reach the store.
 func TestRoutersFallBackToStoreWhenStoreReaderLosesIt(t *testing.T) {
 	f := newRelayFleet(t, 3)
 	f.stores[f.storeReader].disconnect()
@@ -185,7 +186,7 @@
 	f.waitForVersion(2, f.storeReader)
 }
 
-// The router that reads for the others is gone, and its connections with it.
+// The store reader has closed its listener and its connections.
 func TestRoutersFallBackToStoreWhenStoreReaderIsGone(t *testing.T) {
 	f := newRelayFleet(t, 3)
 	f.Assert(f.nodes[f.storeReader].peerListener.Close(), qt.IsNil)
@@ -198,7 +199,7 @@
 	f.waitForVersion(2, f.storeReader)
 }
 
-// Guards against routers that disagree on who reads the store for the others.
+// Guards against routers that disagree on the store readers.
 func TestStoreReadersDependOnlyOnMembership(t *testing.T) {
 	var members []fleet.Member
 	for i := range 80 {
@@ -216,11 +217,12 @@
 			without = append(without, m)
 		}
 	}
-	qt.Assert(t, storeReaders(without, "zone-1")[0], qt.Equals, chosen[1], qt.Commentf("the others stay"))
+	qt.Assert(t, storeReaders(without, "zone-1")[0], qt.Equals, chosen[1], qt.Commentf("the other store readers must not change"))
 	qt.Assert(t, storeReaders(members, "zone-9"), qt.HasLen, 0)
 }
 
-// Guards against requests to an evacuated domain by a router that starts in an outage.
+// Guards against requests to an evacuated failure domain by a router that starts during an outage
+// of the store.
 func TestBootstrapIncludesEvacuations(t *testing.T) {
 	c := qt.New(t)
 	dialect := Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} },
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -51,11 +51,11 @@
 	MemoryMB int
 }
 
-// defaultEntryTTL lets callers leave a stopped router within a second or two, at
-// one small call per caller and second.
+// defaultEntryTTL, in seconds, lets callers move away from a stopped router within a second or
+// two, at the cost of about one small call per caller and second.
 const defaultEntryTTL = 1.5
 
-// LoadSettings reads and checks a settings file.
+// LoadSettings reads and validates a settings file.
 func LoadSettings(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return ParseSettings(data)
 }
 
-// ParseSettings checks the bytes of a settings file.
+// ParseSettings parses and validates the contents of a settings file.
 func ParseSettings(data []byte) (*Settings, error) {
 	file, err := ini.Load(data)
 	if err != nil {
@@ -96,23 +96,24 @@
 	return s, nil
 }
 
-// unset stands for a limit that the settings don't tell.
+// unset is the value of cpu_share and link_mbps if the settings lack them.
 const unset = 1e9
 
-// linkMbpsPerCore is the Mbit/s that one core of forwarding fills: a request of 40 KB, in and
+// linkMbpsPerCore is the traffic in Mbit/s that one core can forward: a request of 40 KB, in and
 // out, takes about a millisecond of a core and 0.6 Mbit.
 const linkMbpsPerCore = 250
 
-// capacity is what a VM can carry, by its processor or its link; 0 if neither is told.
+// capacity returns the load in CPU cores that a VM can carry, limited by its CPU share and its
+// link. It returns 0 if neither is set.
 func capacity(cpuShare, linkMbps float64) float64 {
-	least := min(cpuShare, linkMbps/linkMbpsPerCore)
-	if least > unset/linkMbpsPerCore/2 {
+	cores := min(cpuShare, linkMbps/linkMbpsPerCore)
+	if cores > unset/linkMbpsPerCore/2 {
 		return 0
 	}
-	return least
+	return cores
 }
 
-// parser keeps the first fault that it finds.
+// parser reads values from an INI file and keeps the first error.
 type parser struct {
 	file *ini.File
 	err  error
@@ -151,8 +152,7 @@
 	return list
 }
 
-// number reads a number that is not negative. A zero fallback means that the key
-// must be there.
+// number reads a non-negative number. If fallback is zero the key is required.
 func (p *parser) number(section, key string, fallback float64) float64 {
 	k := p.file.Section(section).Key(key)
 	if k.String() == "" && fallback > 0 {
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -38,7 +38,7 @@
 	qt.Assert(t, s.RetryExtra, qt.Equals, 54.0)
 }
 
-// A wrong setting is told with its section and key.
+// The error for an invalid setting names its section and key.
 func TestParseSettingsErrorNamesKey(t *testing.T) {
 	for _, test := range []struct{ from, to, want string }{
 		{"vm = vm-1", "", `[router] vm: missing`},
@@ -54,6 +54,6 @@
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte(validSettings))
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		_, _ = ParseSettings(data) // must not panic, whatever comes
+		_, _ = ParseSettings(data) // must not panic
 	})
 }
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -8,17 +8,17 @@
 	"chicorytiller.example/chicorytiller/internal/event"
 )
 
-// Planned stop.
+// Phases of the graceful shutdown.
 const (
-	// minAcceptTime is how long a stopping router goes on taking connections: callers
-	// that were told its address come until their answer is old.
+	// minAcceptTime is the minimum time for which a stopping router accepts connections: callers
+	// use its address until their cached addresses expire.
 	minAcceptTime = 3500 * time.Millisecond
-	// grantReturnTime is kept free at the end, to return grants and end in time.
+	// grantReturnTime is the part of the grace period reserved for returning grants.
 	grantReturnTime  = 700 * time.Millisecond
 	stopPollInterval = 25 * time.Millisecond
 )
 
-// stop leaves the directory, lets requests end, returns the grants.
+// stop removes this router from the directory, lets requests finish and returns its grants.
 func (n *Node) stop() {
 	start := time.Now()
 	n.stopStartedAt.Store(start.UnixMilli())
@@ -43,9 +43,8 @@
 	n.log.Emit(event.DrainFinished, slog.Int64("in_hand", n.inFlight.Load()), slog.Int64("ms", time.Since(start).Milliseconds()))
 }
 
-// refuseNewRequests takes no request any more, and waits for those that came just before, until
-// end at the latest. Without it a request that comes while the grants are returned is cut
-// off in its run.
+// refuseNewRequests refuses all further requests and waits until deadline for those in flight.
+// Otherwise a request that arrives while the grants are being returned would be cut off.
 func (n *Node) refuseNewRequests(deadline time.Time) {
 	n.refusing.Store(true)
 	for time.Now().Before(deadline) && n.inFlight.Load() > 0 {
@@ -53,7 +52,7 @@
 	}
 }
 
-// handOverGrants gives what can't be returned to another router.
+// handOverGrants hands the grants that could not be returned to another router.
 func (n *Node) handOverGrants() {
 	others := n.peerAddresses()
 	if len(others) == 0 {
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -16,7 +16,7 @@
 	"chicorytiller.example/chicorytiller/internal/request"
 )
 
-// refusalRecorder notes a refusal; any other answer fails the test.
+// refusalRecorder is a caller that records a refusal and fails the test on any other response.
 type refusalRecorder struct {
 	*qt.C
 	cause forward.Cause
@@ -28,18 +28,19 @@
 func (r *refusalRecorder) Write([]byte) error                    { r.Fatal("written"); return nil }
 func (r *refusalRecorder) Abort()                                { r.Fatal("aborted") }
 
-// Guards against requests that are taken while a stopping router returns its grants, and cut off.
+// Guards against requests that are accepted while a stopping router returns its grants, and then
+// cut off.
 func TestRefusingRouterAcceptsNoRequest(t *testing.T) {
 	n := New(&Settings{VM: "vm-0", GracePeriod: 8 * time.Second}, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
 	n.stopping.Store(true)
-	n.stopStartedAt.Store(time.Now().UnixMilli()) // long requests are still taken
+	n.stopStartedAt.Store(time.Now().UnixMilli()) // within acceptAllTime
 	n.refusing.Store(true)
 	caller := &refusalRecorder{C: qt.New(t)}
 	n.serve(context.Background(), &request.Request{ID: "r1"}, caller)
 	qt.Assert(t, caller.cause, qt.Equals, forward.RouterStopping)
 }
 
-// Guards against grants returned before the last request has ended.
+// Guards against grants that are returned before the last request has ended.
 func TestStopWaitsForLastRequest(t *testing.T) {
 	n := New(&Settings{VM: "vm-0"}, Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} }}, event.Discard(), "p1")
 	n.inFlight.Store(1)
@@ -57,7 +58,7 @@
 	qt.Assert(t, <-waited, qt.IsTrue)
 }
 
-// The router ends while an answer is being written. The caller gets all of it.
+// A listener that is closed while a response is being written completes it.
 func TestListenerCloseCompletesResponse(t *testing.T) {
 	address := "127.0.0.1:0"
 	ln, err := listenOn(&address)
--- a/internal/node/stored_test.go
+++ b/internal/node/stored_test.go
@@ -7,8 +7,8 @@
 	"chicorytiller.example/chicorytiller/internal/wireform"
 )
 
-// Guards against a renamed field or key of the routers' entries that routers of another
-// version don't find.
+// Guards against renamed fields or keys of the routers' entries, which routers of another version
+// would not find.
 func TestEntriesKeepTheirStoredForm(t *testing.T) {
 	wireform.Compare(t, "stored.golden", []string{
 		"keys " + MemberPrefix + " " + quarantinePrefix + " " + fleetPrefix + " " + BudgetPrefix,
--- a/internal/node/warm.go
+++ b/internal/node/warm.go
@@ -8,39 +8,41 @@
 	"chicorytiller.example/chicorytiller/internal/pacing"
 )
 
-// Some backend servers bear few requests a second over all routers, so the first in rank for
-// such a server send to it and all others don't. Routers that know different lists could take
-// different ones for the first. What follows lets that be twice as many at the most, and for
-// some seconds only: a router relies on its rank only if it has been in the list for so
-// long that all others who are know it, and if its own list is of late. A router that lost
-// the store stops before another one can learn that its entry lapsed and stand in for it,
-// or soon after.
+// Some backend servers can take only few requests per second from all routers together, so only
+// the routers that rank first for such a server send to it. Routers with different lists of
+// routers could disagree on who ranks first. The rules below limit this to at most twice as many
+// senders, for a few seconds: a router relies on its rank only if it has been in the list long
+// enough for all other listed routers to know it, and if its own list is recent. A router that
+// lost the store thus stops sending before, or shortly after, another router can see that its
+// entry expired and take its place.
 
 const (
-	// minListedTime is how long a router is in the list before it counts on being known.
+	// minListedTime is how long a router must have been in the list to assume that all others
+	// know it.
 	minListedTime = fleetCheckAfter + 500*time.Millisecond
-	// maxListAge is the greatest age of the list in health.
+	// maxListAge is the maximum age of the list in normal operation.
 	maxListAge = fleetCheckAfter + 400*time.Millisecond
 )
 
-// membership is what a router knows of its own place in the list of routers. It is safe for
-// concurrent use.
+// membership tracks whether this router is in the list of routers, and how recent the list is. It
+// is safe for concurrent use.
 type membership struct {
 	mu sync.Mutex
-	// listedSince is when the own entry was first seen there; zero: it is not there.
+	// listedSince is when this router's own entry was first seen in the list; zero if it is not
+	// there.
 	listedSince time.Time
-	// asOf is the moment whose list is known at the least.
+	// asOf is a time such that the list contains all changes up to it.
 	asOf time.Time
 }
 
-// confirm takes that the list is known as it was at a moment.
+// confirm records that the list contains all changes up to asOf.
 func (m *membership) confirm(asOf time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.asOf = asOf
 }
 
-// setListed takes whether the own entry is in the list.
+// setListed records whether this router's own entry is in the list.
 func (m *membership) setListed(listed bool, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -52,7 +54,8 @@
 	}
 }
 
-// stable says whether all other routers know this one, and it them.
+// stable reports whether this router and all other listed routers can be assumed to know each
+// other.
 func (m *membership) stable(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -63,8 +66,8 @@
 	n.membership.setListed(n.members.Has(MemberPrefix+n.settings.VM), n.now())
 }
 
-// now is a clock that goes on while the VM is suspended: a router that wakes must not take
-// its list for a new one.
+// now reads a clock that keeps running while the VM is suspended, so that a router that wakes up
+// does not take its old list for a recent one.
 func (n *Node) now() time.Time {
 	if n.env.Now == nil {
 		return time.Now()
@@ -72,8 +75,8 @@
 	return n.env.Now()
 }
 
-// rankFor is this router's rank among all that send to a server that bears few requests, by
-// the server's start.
+// rankFor returns this router's rank among the routers as a sender to a backend server that can
+// take only few requests, or an invalid rank if it cannot be relied on.
 func (n *Node) rankFor(incarnation string) pacing.SenderRank {
 	if n.stopping.Load() || !n.membership.stable(n.now()) {
 		return pacing.SenderRank{}
@@ -82,7 +85,7 @@
 	return n.serverRanks.get(fleetState{version: version}, incarnation, func() pacing.SenderRank { return n.ownRank(members, "sends to "+incarnation) })
 }
 
-// ownRank works out this router's rank for a key.
+// ownRank computes this router's rank for key.
 func (n *Node) ownRank(members []fleet.Member, key string) pacing.SenderRank {
 	ownRank := pacing.SenderRank{Total: 1, Valid: true}
 	ownScore := n.self().Rank(key)
@@ -98,7 +101,8 @@
 	return ownRank
 }
 
-// coldRate is the requests a second that a service's cold servers bear; 0: no bound.
+// coldRate returns the rate, in requests per second, that cold servers of a service can take; 0
+// means no limit.
 func (n *Node) coldRate(service string) float64 {
 	if p := n.policy.Load(); p != nil && p.Services[service] != nil {
 		return p.Services[service].ColdRate
@@ -106,7 +110,7 @@
 	return 0
 }
 
-// warmUp is how long a service's servers are cold after a start.
+// warmUp returns how long servers of a service are cold after their start.
 func (n *Node) warmUp(service string) time.Duration {
 	if p := n.policy.Load(); p != nil && p.Services[service] != nil {
 		return p.Services[service].WarmUp
--- a/internal/node/warm_test.go
+++ b/internal/node/warm_test.go
@@ -13,7 +13,7 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// rankedFleet are routers on one clock that know the list of routers as a test tells them.
+// rankedFleet is a set of routers with a common clock, whose lists of routers the test sets.
 type rankedFleet struct {
 	*qt.C
 	now   time.Time
@@ -30,7 +30,7 @@
 	return w
 }
 
-// setMembers lets routers know the list of those that are in it.
+// setMembers sets the list of routers that each of the given routers knows.
 func (w *rankedFleet) setMembers(routers []*Node, listed []*Node) {
 	items := make([]store.Item, 0, len(listed))
 	for i, n := range listed {
@@ -45,13 +45,13 @@
 	}
 }
 
-// isFirst says whether a router takes itself for the first in rank for a server.
+// isFirst reports whether a router considers itself first in rank for a server.
 func isFirst(n *Node, server string) bool {
 	place := n.rankFor(server)
 	return place.Valid && place.Position == 0
 }
 
-// senders are the routers that take themselves for the one that sends to a cold server.
+// senders returns the routers that consider themselves the sender to a cold server.
 func (w *rankedFleet) senders(server string) []*Node {
 	var list []*Node
 	for _, n := range w.nodes {
@@ -62,7 +62,8 @@
 	return list
 }
 
-// In health each cold server has exactly one sender, and the servers' senders differ.
+// In normal operation each cold server has exactly one sender, and the senders are spread over the
+// routers.
 func TestColdServerHasOneSender(t *testing.T) {
 	for _, routers := range []int{8, 80, 195} {
 		w := newRankedFleet(t, routers)
@@ -79,7 +80,8 @@
 	}
 }
 
-// Guards against cold servers that crash since each of the routers that start together sends to them.
+// Guards against cold servers that crash because every one of many routers that start together
+// sends to them.
 func TestRoutersStartingTogetherWaitForMembership(t *testing.T) {
 	w := newRankedFleet(t, 80)
 	for _, n := range w.nodes {
@@ -94,7 +96,7 @@
 	w.Assert(w.senders("server"), qt.HasLen, 1)
 }
 
-// Guards against two senders to a cold server for longer than the list can be old.
+// Guards against two senders to a cold server for longer than the maximum age of the list.
 func TestSenderStopsAfterLosingStore(t *testing.T) {
 	w := newRankedFleet(t, 80)
 	w.setMembers(w.nodes, w.nodes)
@@ -115,13 +117,13 @@
 	w.Assert(w.senders("server"), qt.HasLen, 1)
 	w.Assert(isFirst(lost, "server"), qt.IsFalse)
 
-	// It is back, and waits until all know it.
+	// After its return it waits until all others know it.
 	w.setMembers(w.nodes, others)
 	w.setMembers(w.nodes, w.nodes)
 	w.Assert(isFirst(lost, "server"), qt.IsFalse)
 }
 
-// A router that stops sends nothing to cold servers: another one stands in for it at once.
+// A stopping router does not send to cold servers; another router takes its place at once.
 func TestStoppingRouterIsNotSender(t *testing.T) {
 	w := newRankedFleet(t, 1)
 	w.setMembers(w.nodes, w.nodes)
