--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -100,7 +100,7 @@
 	for _, item := range items {
 		s.update(item)
 	}
-	s.node.evacuated.Reset(items)
+	s.node.evacuations.Reset(items)
 }
 
 func (s *configSink) Apply(events []store.Event, _ store.Silence) {
@@ -109,7 +109,7 @@
 			s.update(e.Item)
 		}
 	}
-	s.node.evacuated.Apply(events)
+	s.node.evacuations.Apply(events)
 }
 
 // update puts the configuration in force if it is valid as a whole and newer than the current
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -222,25 +222,25 @@
 }
 
 // runFollowerTest runs test in a synctest bubble while the followers of a router run.
-func runFollowerTest(t *testing.T, relay store.Relay, test func(w *followerTest)) {
+func runFollowerTest(t *testing.T, relay store.Relay, run func(f *followerTest)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &followerTest{C: qt.New(t), store: &faultyStore{Store: memstore.New(nil)}, logs: &logBuffer{}}
-		w.store.Put("config/x", []byte("1"))
-		w.putServer("a", false)
-		w.putServer("b", false)
-		w.node = New(&Settings{VM: "vm-1", FailureDomain: "zone-1", DrainTime: drain}, Environment{
-			Store: w.store, Clock: func() escrow.ClockReading { return escrow.ClockReading{} },
+		f := &followerTest{C: qt.New(t), store: &faultyStore{Store: memstore.New(nil)}, logs: &logBuffer{}}
+		f.store.Put("config/x", []byte("1"))
+		f.putServer("a", false)
+		f.putServer("b", false)
+		f.node = New(&Settings{VM: "vm-1", FailureDomain: "zone-1", DrainTime: drain}, Environment{
+			Store: f.store, Clock: func() escrow.ClockReading { return escrow.ClockReading{} },
 			ConfigPrefix: "config/", IsConfig: func(item store.Item) bool { return item.Key == "config/x" }, DecodeConfig: decodeTestConfig,
 			EvacuatedDomain: func(key string) (string, bool) { return strings.CutPrefix(key, "config/evacuate/") },
 			ServersPrefix:   "servers/", DecodeServer: decodeTestServer,
-		}, event.New(w.logs, "p1", slog.LevelInfo, nil), "p1")
+		}, event.New(f.logs, "p1", slog.LevelInfo, nil), "p1")
 		ctx, cancel := context.WithCancel(t.Context())
 		var tasks conc.WaitGroup
-		for _, f := range w.node.followers(relay) {
+		for _, f := range f.node.followers(relay) {
 			tasks.Go(func() { f.Run(ctx) })
 		}
 		time.Sleep(faultDelay)
-		test(w)
+		run(f)
 		cancel()
 		tasks.Wait()
 	})
@@ -251,15 +251,15 @@
 	return e, json.Unmarshal(item.Value, &e)
 }
 
-func (w *followerTest) putServer(id string, draining bool) {
+func (f *followerTest) putServer(id string, draining bool) {
 	value, err := json.Marshal(fleet.Entry{ID: id, Service: "engines", Address: "10.0.0.1:80", Domain: "zone-" + id, Draining: draining})
-	w.Assert(err, qt.IsNil)
-	w.store.Put("servers/"+id, value)
+	f.Assert(err, qt.IsNil)
+	f.store.Put("servers/"+id, value)
 }
 
 // inUse reports whether a server may get requests.
-func (w *followerTest) inUse(id string) bool {
-	for _, s := range w.node.registry.View().ByService["engines"] {
+func (f *followerTest) inUse(id string) bool {
+	for _, s := range f.node.registry.View().ByService["engines"] {
 		if s.ID == id {
 			return !s.Ineligible()
 		}
@@ -280,15 +280,15 @@
 func TestServerLeavingAfterPartitionIsRemovedInTime(t *testing.T) {
 	const leaveDelay = 900 * time.Millisecond
 	forEachPhase(t, func(t *testing.T, phase time.Duration) {
-		runFollowerTest(t, unusedRelay{}, func(w *followerTest) {
-			w.store.set(func() { w.store.partitioned = true })
+		runFollowerTest(t, unusedRelay{}, func(f *followerTest) {
+			f.store.set(func() { f.store.partitioned = true })
 			time.Sleep(8*time.Second + phase)
-			w.store.set(func() { w.store.partitioned = false })
+			f.store.set(func() { f.store.partitioned = false })
 			time.Sleep(leaveDelay)
-			w.store.Remove("servers/a")
+			f.store.Remove("servers/a")
 			time.Sleep(max(drain, recoveryTime-leaveDelay))
-			w.Assert(w.inUse("a"), qt.IsFalse)
-			w.Assert(w.inUse("b"), qt.IsTrue)
+			f.Assert(f.inUse("a"), qt.IsFalse)
+			f.Assert(f.inUse("b"), qt.IsTrue)
 		})
 	})
 }
@@ -304,17 +304,17 @@
 		for link, rtt := range map[string]time.Duration{"short": defaultRTT, "long": 400 * time.Millisecond} {
 			t.Run(name+"/"+link, func(t *testing.T) {
 				forEachPhase(t, func(t *testing.T, phase time.Duration) {
-					runFollowerTest(t, relay, func(w *followerTest) {
-						w.store.set(func() { w.store.partitioned, w.store.watchesHang, w.store.rtt = true, true, rtt })
+					runFollowerTest(t, relay, func(f *followerTest) {
+						f.store.set(func() { f.store.partitioned, f.store.watchesHang, f.store.rtt = true, true, rtt })
 						time.Sleep(leaveDelay)
-						w.store.Remove("servers/a")
+						f.store.Remove("servers/a")
 						time.Sleep(9*time.Second + phase)
-						w.store.set(func() { w.store.partitioned = false })
+						f.store.set(func() { f.store.partitioned = false })
 						time.Sleep(retransmission)
-						w.store.set(func() { w.store.watchesHang = false })
+						f.store.set(func() { f.store.watchesHang = false })
 						time.Sleep(recoveryTime - retransmission)
-						w.Assert(w.inUse("a"), qt.IsFalse)
-						w.Assert(w.inUse("b"), qt.IsTrue)
+						f.Assert(f.inUse("a"), qt.IsFalse)
+						f.Assert(f.inUse("b"), qt.IsTrue)
 					})
 				})
 			})
@@ -333,17 +333,17 @@
 		updateTime   = gateInterval + 2*(callTime+poll)
 	)
 	forEachPhase(t, func(t *testing.T, phase time.Duration) {
-		runFollowerTest(t, silentRelay{}, func(w *followerTest) {
-			w.store.set(func() { w.store.partitioned, w.store.rtt = true, rtt })
-			w.putServer("a", true)
-			w.store.Put("config/x", []byte("2"))
-			w.store.Put(MemberPrefix+"vm-2", []byte(`{"address":"127.0.0.1:1"}`))
+		runFollowerTest(t, silentRelay{}, func(f *followerTest) {
+			f.store.set(func() { f.store.partitioned, f.store.rtt = true, rtt })
+			f.putServer("a", true)
+			f.store.Put("config/x", []byte("2"))
+			f.store.Put(MemberPrefix+"vm-2", []byte(`{"address":"127.0.0.1:1"}`))
 			time.Sleep(9*time.Second + phase)
-			w.store.set(func() { w.store.partitioned = false })
+			f.store.set(func() { f.store.partitioned = false })
 			time.Sleep(updateTime)
-			w.Check(w.inUse("a"), qt.IsFalse)
-			w.Check(w.node.policy.Load().Version, qt.Equals, int64(2))
-			w.Check(w.node.members.List(), qt.HasLen, 1)
+			f.Check(f.inUse("a"), qt.IsFalse)
+			f.Check(f.node.policy.Load().Version, qt.Equals, int64(2))
+			f.Check(f.node.members.List(), qt.HasLen, 1)
 		})
 	})
 }
@@ -360,18 +360,18 @@
 		for name, relay := range map[string]store.Relay{"reader": unusedRelay{}, "follower": silentRelay{}} {
 			t.Run(outage+"/"+name, func(t *testing.T) {
 				forEachPhase(t, func(t *testing.T, phase time.Duration) {
-					runFollowerTest(t, relay, func(w *followerTest) {
-						set(w.store, true)
+					runFollowerTest(t, relay, func(f *followerTest) {
+						set(f.store, true)
 						time.Sleep(8*time.Second + phase)
-						w.store.Remove("servers/a")
-						set(w.store, false)
+						f.store.Remove("servers/a")
+						set(f.store, false)
 						for range returnTime / phaseStep {
 							time.Sleep(phaseStep)
-							w.Assert(w.inUse("a"), qt.IsTrue)
+							f.Assert(f.inUse("a"), qt.IsTrue)
 						}
-						w.putServer("a", false)
+						f.putServer("a", false)
 						time.Sleep(recoveryTime)
-						w.Assert(w.inUse("a"), qt.IsTrue)
+						f.Assert(f.inUse("a"), qt.IsTrue)
 					})
 				})
 			})
@@ -384,19 +384,19 @@
 	for name, relay := range map[string]store.Relay{"reader": unusedRelay{}, "follower": silentRelay{}} {
 		t.Run(name, func(t *testing.T) {
 			forEachPhase(t, func(t *testing.T, phase time.Duration) {
-				runFollowerTest(t, relay, func(w *followerTest) {
-					w.store.set(func() { w.store.watchesHang = true })
+				runFollowerTest(t, relay, func(f *followerTest) {
+					f.store.set(func() { f.store.watchesHang = true })
 					time.Sleep(phase)
-					w.putServer("a", true)
-					w.store.Put("config/x", []byte("2"))
-					w.store.Put("config/evacuate/zone-b", []byte("{}"))
-					w.store.Put(MemberPrefix+"vm-2", []byte(`{"address":"127.0.0.1:1"}`))
+					f.putServer("a", true)
+					f.store.Put("config/x", []byte("2"))
+					f.store.Put("config/evacuate/zone-b", []byte("{}"))
+					f.store.Put(MemberPrefix+"vm-2", []byte(`{"address":"127.0.0.1:1"}`))
 					time.Sleep(min(drain, maxConfigAge) - defaultRTT)
-					w.Assert(w.inUse("a"), qt.IsFalse)
-					w.Assert(w.inUse("b"), qt.IsFalse, qt.Commentf("its domain is evacuated"))
-					w.Assert(w.node.policy.Load().Version, qt.Equals, int64(2))
+					f.Assert(f.inUse("a"), qt.IsFalse)
+					f.Assert(f.inUse("b"), qt.IsFalse, qt.Commentf("its domain is evacuated"))
+					f.Assert(f.node.policy.Load().Version, qt.Equals, int64(2))
 					time.Sleep(maxFleetAge - min(drain, maxConfigAge))
-					w.Assert(w.node.members.List(), qt.HasLen, 1)
+					f.Assert(f.node.members.List(), qt.HasLen, 1)
 				})
 			})
 		})
@@ -407,31 +407,31 @@
 // as unreachable.
 func TestChangesAreSeenOverSlowLink(t *testing.T) {
 	forEachPhase(t, func(t *testing.T, phase time.Duration) {
-		runFollowerTest(t, unusedRelay{}, func(w *followerTest) {
-			w.store.set(func() { w.store.rtt = 900 * time.Millisecond })
+		runFollowerTest(t, unusedRelay{}, func(f *followerTest) {
+			f.store.set(func() { f.store.rtt = 900 * time.Millisecond })
 			time.Sleep(5*time.Second + phase)
-			w.putServer("a", true)
-			w.store.Put("config/x", []byte("2"))
+			f.putServer("a", true)
+			f.store.Put("config/x", []byte("2"))
 			time.Sleep(min(drain, maxConfigAge))
-			w.Assert(w.inUse("a"), qt.IsFalse)
-			w.Assert(w.node.policy.Load().Version, qt.Equals, int64(2))
+			f.Assert(f.inUse("a"), qt.IsFalse)
+			f.Assert(f.node.policy.Load().Version, qt.Equals, int64(2))
 			time.Sleep(10 * time.Second)
 			unreachableEvent := fmt.Sprintf(`"event":%d,`, event.StoreUnreachable)
-			w.Assert(w.logs.text(), qt.Not(qt.Contains), unreachableEvent)
+			f.Assert(f.logs.text(), qt.Not(qt.Contains), unreachableEvent)
 		})
 	})
 }
 
 // Guards against a router that stays stale while its link is too congested for full reads.
 func TestChangesAreSeenWhenOnlyShortResponsesArrive(t *testing.T) {
-	runFollowerTest(t, unusedRelay{}, func(w *followerTest) {
-		w.store.SetDown(true)
+	runFollowerTest(t, unusedRelay{}, func(f *followerTest) {
+		f.store.SetDown(true)
 		time.Sleep(8 * time.Second)
-		w.store.set(func() { w.store.readsHang = true })
-		w.store.SetDown(false)
-		w.putServer("a", true)
+		f.store.set(func() { f.store.readsHang = true })
+		f.store.SetDown(false)
+		f.putServer("a", true)
 		time.Sleep(recoveryTime)
-		w.Assert(w.inUse("a"), qt.IsFalse)
+		f.Assert(f.inUse("a"), qt.IsFalse)
 	})
 }
 
@@ -444,24 +444,24 @@
 
 // Guards against more calls to a healthy store than one watch per prefix and watch cycle.
 func TestFollowersMakeFewCallsInNormalOperation(t *testing.T) {
-	runFollowerTest(t, unusedRelay{}, func(w *followerTest) {
-		before := w.store.calls()
+	runFollowerTest(t, unusedRelay{}, func(f *followerTest) {
+		before := f.store.calls()
 		time.Sleep(60 * time.Second)
-		calls := w.store.calls() - before
+		calls := f.store.calls() - before
 		const maxCalls = 2*(60*10/12+1) + 60*10/23 + 2
-		w.Assert(calls <= maxCalls, qt.IsTrue, qt.Commentf("%d calls", calls))
+		f.Assert(calls <= maxCalls, qt.IsTrue, qt.Commentf("%d calls", calls))
 	})
 }
 
 // Guards against paid calls to a store that refuses them: the followers take turns.
 func TestFollowersMakeFewCallsInOutage(t *testing.T) {
-	runFollowerTest(t, unusedRelay{}, func(w *followerTest) {
-		w.store.SetDown(true)
-		before := w.store.calls()
+	runFollowerTest(t, unusedRelay{}, func(f *followerTest) {
+		f.store.SetDown(true)
+		before := f.store.calls()
 		time.Sleep(60 * time.Second)
-		calls := w.store.calls() - before
+		calls := f.store.calls() - before
 		const maxCalls = 60*10/6 + 10
-		w.Assert(calls <= maxCalls, qt.IsTrue, qt.Commentf("%d calls", calls))
+		f.Assert(calls <= maxCalls, qt.IsTrue, qt.Commentf("%d calls", calls))
 	})
 }
 
@@ -469,16 +469,16 @@
 func TestFrequentChangesCauseFewCalls(t *testing.T) {
 	for name, relay := range map[string]store.Relay{"reader": unusedRelay{}, "follower": relayWithoutFeed{}} {
 		t.Run(name, func(t *testing.T) {
-			runFollowerTest(t, relay, func(w *followerTest) {
-				before := w.store.calls()
+			runFollowerTest(t, relay, func(f *followerTest) {
+				before := f.store.calls()
 				for i := range 600 {
-					w.putServer(fmt.Sprint("c", i), false)
+					f.putServer(fmt.Sprint("c", i), false)
 					time.Sleep(100 * time.Millisecond)
 				}
-				calls := w.store.calls() - before
+				calls := f.store.calls() - before
 				const maxCalls = 2*(60*10/12+1) + 60*10/23 + 2 + 2*serversBurst
-				w.Assert(calls <= maxCalls, qt.IsTrue, qt.Commentf("%d calls", calls))
-				w.Assert(w.inUse("c590"), qt.IsTrue)
+				f.Assert(calls <= maxCalls, qt.IsTrue, qt.Commentf("%d calls", calls))
+				f.Assert(f.inUse("c590"), qt.IsTrue)
 			})
 		})
 	}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -23,7 +23,7 @@
 	limitSweepInterval = 30 * time.Second
 )
 
-// limitWriter writes records of rate limits that backend servers announced to the store.
+// limitWriter writes to the store the rate limits that backend servers announced.
 type limitWriter struct {
 	node    *Node
 	lease   store.LeaseID
--- a/internal/node/limits_bench_test.go
+++ b/internal/node/limits_bench_test.go
@@ -17,11 +17,11 @@
 	const routers, servers = 195, 3000
 	for _, limited := range []int{0, 30, 900} {
 		b.Run(fmt.Sprint(limited, " limited"), func(b *testing.B) {
-			w := newRankedFleet(b, routers)
-			w.setMembers(w.nodes, w.nodes)
-			w.now = w.now.Add(minListedTime)
-			w.setMembers(w.nodes, w.nodes)
-			n := w.nodes[0]
+			f := newRankedFleet(b, routers)
+			f.setMembers(f.nodes, f.nodes)
+			f.now = f.now.Add(minListedTime)
+			f.setMembers(f.nodes, f.nodes)
+			n := f.nodes[0]
 			list := make([]*fleet.Server, servers)
 			for i := range list {
 				list[i] = fleet.NewServer(fleet.Entry{ID: fmt.Sprint("server-", i)})
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -81,7 +81,7 @@
 		l.close(ctx)
 	}
 	if n.peerListener != nil {
-		_ = n.peerListener.Close() // the process ends
+		_ = n.peerListener.Close() // the process is about to exit
 	}
 }
 
@@ -97,6 +97,6 @@
 // close shuts the server down. Responses in progress may complete until ctx ends.
 func (l *listener) close(ctx context.Context) {
 	if l.server.Shutdown(ctx) != nil {
-		_ = l.server.Close() // the process ends
+		_ = l.server.Close() // the process is about to exit
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -117,7 +117,7 @@
 	configMu          sync.Mutex             // held while policy and configItem are set
 	feeds             map[string]*store.Feed // by prefix
 	registry          *fleet.Registry
-	evacuated         *fleet.Evacuations
+	evacuations       *fleet.Evacuations
 	members           *fleet.Members
 	rankings          rankings[[]string]          // holders of accounts
 	serverRanks       rankings[pacing.SenderRank] // of this router, by incarnation of a backend server
@@ -143,24 +143,24 @@
 }
 
 // New returns a node. incarnation must be unique among all processes ever started.
-func New(s *Settings, d Environment, log *event.Log, incarnation string) *Node {
-	n := &Node{settings: s, env: d, log: log, incarnation: incarnation, metrics: NewMetrics(), quarantineReports: make(chan uint64, maxPendingReports),
+func New(s *Settings, env Environment, log *event.Log, incarnation string) *Node {
+	n := &Node{settings: s, env: env, log: log, incarnation: incarnation, metrics: NewMetrics(), quarantineReports: make(chan uint64, maxPendingReports),
 		stopSignal: make(chan struct{}), createdAt: time.Now()}
-	d.Store = store.Counted{Store: d.Store, Count: n.metrics.CountStoreCall}
-	n.env.Store = d.Store
-	n.registry = fleet.NewRegistry(d.DecodeServer, log, nil)
+	env.Store = store.Counted{Store: env.Store, Count: n.metrics.CountStoreCall}
+	n.env.Store = env.Store
+	n.registry = fleet.NewRegistry(env.DecodeServer, log, nil)
 	n.registry.SetWarmUp(n.warmUp)
-	n.evacuated = fleet.NewEvacuations(d.EvacuatedDomain, n.registry, log)
+	n.evacuations = fleet.NewEvacuations(env.EvacuatedDomain, n.registry, log)
 	n.members = fleet.NewMembers(decodeMember, log, nil)
 	n.feeds = map[string]*store.Feed{
-		d.ConfigPrefix: {Now: d.Now}, fleetPrefix: {Now: d.Now}, d.ServersPrefix: {Now: d.Now, Same: n.registry.Same},
+		env.ConfigPrefix: {Now: env.Now}, fleetPrefix: {Now: env.Now}, env.ServersPrefix: {Now: env.Now, Same: n.registry.Same},
 	}
 	n.retries = retry.NewBudget(retryLimits(s), 1, nil)
 	n.quarantine = retry.NewQuarantine(nil)
-	n.client = upstream.NewClient(d.Codec, n.metrics.BackendDials)
+	n.client = upstream.NewClient(env.Codec, n.metrics.BackendDials)
 	n.peers = peers.NewClient(incarnation, n.peerAddresses, log)
 	n.grants = escrow.New(escrow.Options{
-		Store: d.Store, Prefix: BudgetPrefix, VM: s.VM, Address: s.PeerAddr, Incarnation: incarnation, Clock: d.Clock,
+		Store: env.Store, Prefix: BudgetPrefix, VM: s.VM, Address: s.PeerAddr, Incarnation: incarnation, Clock: env.Clock,
 		Budgets: n.budgets, Home: n.homeAddress, Holders: n.holderAddresses, Log: log, Peers: n.peers,
 	})
 	n.limits = pacing.NewLimits(log, nil)
@@ -302,7 +302,8 @@
 	}
 }
 
-// finishesInTime reports whether a stopping router may still accept a request.
+// finishesInTime reports whether a stopping router may still accept a request: within
+// acceptAllTime any request, later one whose timeout ends before the grants are returned.
 func (n *Node) finishesInTime(r *request.Request) bool {
 	since := time.Since(time.UnixMilli(n.stopStartedAt.Load()))
 	if since < acceptAllTime {
@@ -362,7 +363,7 @@
 func (n *Node) Known() peers.Known {
 	known := peers.Known{Servers: n.registry.Items(), Members: n.members.Items(), Limits: n.limits.Items()}
 	if item := n.configItem.Load(); item != nil {
-		known.Config = append([]store.Item{*item}, n.evacuated.Items()...)
+		known.Config = append([]store.Item{*item}, n.evacuations.Items()...)
 	}
 	return known
 }
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -127,7 +127,7 @@
 	n.startFollowers(ctx, &tasks)
 	f.Cleanup(func() {
 		cancel()
-		_ = n.peerListener.Close() // servePeers ends with it
+		_ = n.peerListener.Close() // makes servePeers return
 		tasks.Wait()
 	})
 }
@@ -225,11 +225,11 @@
 // of the store.
 func TestBootstrapIncludesEvacuations(t *testing.T) {
 	c := qt.New(t)
-	dialect := Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} },
+	env := Environment{Clock: func() escrow.ClockReading { return escrow.ClockReading{} },
 		IsConfig: func(item store.Item) bool { return item.Key == "config/x" }, DecodeConfig: decodeTestConfig,
 		EvacuatedDomain: func(key string) (string, bool) { return strings.CutPrefix(key, "config/evacuate/") },
 		DecodeServer:    decodeTestServer}
-	source, starting := New(&Settings{VM: "vm-1"}, dialect, event.Discard(), "p1"), New(&Settings{VM: "vm-2"}, dialect, event.Discard(), "p2")
+	source, starting := New(&Settings{VM: "vm-1"}, env, event.Discard(), "p1"), New(&Settings{VM: "vm-2"}, env, event.Discard(), "p2")
 	(&configSink{node: source}).Reset([]store.Item{
 		{Key: "config/x", Value: []byte("1"), Revision: 1}, {Key: "config/evacuate/zone-a", Value: []byte("{}"), Revision: 2},
 	}, store.Silence{})
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -125,6 +125,7 @@
 	}
 }
 
+// text reads a required string.
 func (p *parser) text(section, key string) string {
 	value := p.file.Section(section).Key(key).String()
 	if value == "" {
@@ -133,6 +134,7 @@
 	return value
 }
 
+// address reads a required address.
 func (p *parser) address(section, key string) string {
 	value := p.text(section, key)
 	if _, err := netip.ParseAddrPort(value); value != "" && err != nil {
@@ -141,7 +143,7 @@
 	return value
 }
 
-// addresses reads a comma-separated list, which may be empty.
+// addresses reads an optional comma-separated list of addresses.
 func (p *parser) addresses(section, key string) []string {
 	list := p.file.Section(section).Key(key).Strings(",")
 	for _, value := range list {
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -65,7 +65,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	begun, closing := make(chan struct{}), make(chan struct{})
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(w, "first half, ") // the caller reads all or the test fails
+		_, _ = io.WriteString(w, "first half, ") // the test checks what the caller reads
 		close(begun)
 		<-closing
 		_, _ = io.WriteString(w, "second half") // as above
