--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -30,7 +30,7 @@
 	t.firstAt = time.Now()
 	if reply.Status == http.StatusOK {
 		t.succeeded = true
-		t.setOutput(reply.Output)
+		t.setOutput(reply.OutputTokens)
 	}
 	if err := t.caller.Answer(reply.Status, reply.Header, body); err != nil {
 		return callerGone
@@ -51,7 +51,7 @@
 // relayUnbuffered relays an answer that is too long to be buffered; head is what was read of it.
 func (t *task) relayUnbuffered(server *fleet.Server, reply *upstream.Reply, head []byte) outcome {
 	t.headSent, t.firstAt = true, time.Now()
-	t.setOutput(reply.Output)
+	t.setOutput(reply.OutputTokens)
 	t.caller.Begin(reply.Status, reply.Header, reply.Length)
 	part := head
 	buf := make([]byte, 16<<10)
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -35,7 +35,7 @@
 	t.tried[server.Incarnation] = true
 	a := &upstream.Attempt{Request: t.r, Server: server, ResumeAfter: t.lastEvent, Resume: t.hasEvent}
 	if !t.deadline.IsZero() {
-		a.Left = time.Until(t.deadline)
+		a.Timeout = time.Until(t.deadline)
 	}
 	t.sentAt, t.prefill = time.Now(), choice.UncachedTokens
 	server.BeginRequest(choice.UncachedTokens)
@@ -52,7 +52,7 @@
 	if reply.HasLoad {
 		server.SetLoad(reply.Load, time.Now())
 	}
-	server.MarkCold(time.Now(), reply.Cold)
+	server.MarkCold(time.Now(), reply.ColdFor)
 	t.f.RateLimits.ObserveResponse(server, reply.RateLimit, t.sentAt)
 	if reply.NotExecuted || reply.Status == http.StatusMisdirectedRequest {
 		return t.handleRejection(server, reply)
@@ -97,7 +97,7 @@
 	}
 	server.RecordFailure(time.Now())
 	t.logFailure(server, "broken", err)
-	if !t.pastDeadline() && !upstream.Silent(err) {
+	if !t.pastDeadline() && !upstream.IsTimeout(err) {
 		t.recordCrash()
 	}
 	return broken
--- a/internal/native/backends.go
+++ b/internal/native/backends.go
@@ -28,8 +28,8 @@
 
 // Codec is the backend servers' dialect.
 var Codec = upstream.HeaderCodec{Names: upstream.HeaderNames{
-	RequestID: HeaderRequestID, Server: HeaderBackend, TimeLeft: HeaderTimeLeft, LastEvent: HeaderLastEvent,
-	Account: HeaderAccount, Urgency: HeaderUrgency, NotExecuted: HeaderNotExecuted, Load: HeaderLoad, Output: HeaderOutput,
+	RequestID: HeaderRequestID, ServerID: HeaderBackend, TimeLeft: HeaderTimeLeft, LastEventID: HeaderLastEvent,
+	Account: HeaderAccount, Priority: HeaderUrgency, NotExecuted: HeaderNotExecuted, Load: HeaderLoad, OutputTokens: HeaderOutput,
 	RateLimit: HeaderRateLimit,
 }}
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -353,12 +353,12 @@
 	}
 }
 
-// Feed implements peers.Knowledge.
+// Feed implements peers.StateSource.
 func (n *Node) Feed(prefix string) *store.Feed {
 	return n.feeds[prefix]
 }
 
-// Known implements peers.Knowledge. It returns the state that another router needs if it starts
+// Known implements peers.StateSource. It returns the state that another router needs if it starts
 // while the store is unreachable.
 func (n *Node) Known() peers.Known {
 	known := peers.Known{Servers: n.registry.Items(), Members: n.members.Items(), Limits: n.limits.Items()}
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -192,7 +192,7 @@
 	f.Assert(f.nodes[f.storeReader].peerListener.Close(), qt.IsNil)
 	for vm, n := range f.nodes {
 		if vm != f.storeReader {
-			n.peers.Forget(f.nodes[f.storeReader].settings.PeerAddr)
+			n.peers.CloseConnection(f.nodes[f.storeReader].settings.PeerAddr)
 		}
 	}
 	f.store.Put("config/x", []byte("2"))
--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -274,8 +274,8 @@
 	return client, nil
 }
 
-// Forget drops the connection to a peer.
-func (c *Client) Forget(address string) {
+// CloseConnection drops the connection to a peer.
+func (c *Client) CloseConnection(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if client := c.clients[address]; client != nil {
--- a/internal/peers/follow.go
+++ b/internal/peers/follow.go
@@ -25,9 +25,9 @@
 
 // Statuses of a FollowAnswer.
 const (
-	Followed    FollowStatus = iota
-	NoFeed                   // the peer doesn't follow the store itself, or is behind
-	HistoryLost              // the peer no longer has the changes from there on
+	FollowOK        FollowStatus = iota
+	FollowNoFeed                 // the peer doesn't follow the store itself, or is behind
+	FollowCompacted              // the peer no longer has the changes from there on
 )
 
 // FollowAnswer is what the peer knows from the store itself.
@@ -44,7 +44,7 @@
 func (s *Service) Follow(request FollowRequest, answer *FollowAnswer) error {
 	feed := s.knowledge.Feed(request.Prefix)
 	if feed == nil {
-		answer.Status = NoFeed
+		answer.Status = FollowNoFeed
 		return nil
 	}
 	var err error
@@ -55,9 +55,9 @@
 	}
 	switch {
 	case errors.Is(err, store.ErrCompacted):
-		answer.Status = HistoryLost
+		answer.Status = FollowCompacted
 	case err != nil:
-		answer.Status = NoFeed // it doesn't follow the store, or is behind: the peer asks elsewhere
+		answer.Status = FollowNoFeed // it doesn't follow the store, or is behind: the peer asks elsewhere
 	}
 	if request.Unpacks {
 		return s.packer.pack(answer)
@@ -80,9 +80,9 @@
 		return FollowAnswer{}, err
 	}
 	switch answer.Status {
-	case HistoryLost:
+	case FollowCompacted:
 		return FollowAnswer{}, store.ErrCompacted
-	case NoFeed:
+	case FollowNoFeed:
 		return FollowAnswer{}, store.ErrNoFeed
 	}
 	if err := answer.unpack(); err != nil {
--- a/internal/peers/pack.go
+++ b/internal/peers/pack.go
@@ -23,8 +23,8 @@
 	unpackedMost = 64 << 20
 )
 
-// ErrPacked: a compressed answer can't be read.
-var ErrPacked = errors.New("peers: compressed answer spoiled")
+// ErrCorruptAnswer: a compressed answer can't be read.
+var ErrCorruptAnswer = errors.New("peers: compressed answer spoiled")
 
 // Packed is the compressed items or changes of a FollowAnswer.
 type Packed struct {
@@ -133,12 +133,12 @@
 		return nil
 	}
 	if xxhash.Sum64(a.Packed.Data) != a.Packed.Digest {
-		return errors.Wrap(ErrPacked, "digest")
+		return errors.Wrap(ErrCorruptAnswer, "digest")
 	}
 	content := packedContent{}
 	r := flate.NewReader(bytes.NewReader(a.Packed.Data))
 	if err := gob.NewDecoder(io.LimitReader(r, unpackedMost)).Decode(&content); err != nil {
-		return errors.Wrap(ErrPacked, err.Error())
+		return errors.Wrap(ErrCorruptAnswer, err.Error())
 	}
 	a.Snapshot.Items, a.Changes.Events, a.Packed = content.Items, content.Events, Packed{}
 	return nil
--- a/internal/peers/pack_test.go
+++ b/internal/peers/pack_test.go
@@ -127,11 +127,11 @@
 	whole := a.Packed
 	a.Packed.Data = append([]byte(nil), whole.Data...)
 	a.Packed.Data[len(a.Packed.Data)/2] ^= 1
-	qt.Assert(t, a.unpack(), qt.ErrorIs, ErrPacked)
+	qt.Assert(t, a.unpack(), qt.ErrorIs, ErrCorruptAnswer)
 	cut := contentOf(whole.Data[:len(whole.Data)/2])
-	qt.Assert(t, cut.unpack(), qt.ErrorIs, ErrPacked)
+	qt.Assert(t, cut.unpack(), qt.ErrorIs, ErrCorruptAnswer)
 	foreign := contentOf([]byte("no answer at all"))
-	qt.Assert(t, foreign.unpack(), qt.ErrorIs, ErrPacked)
+	qt.Assert(t, foreign.unpack(), qt.ErrorIs, ErrCorruptAnswer)
 }
 
 func BenchmarkPack(b *testing.B) {
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -85,8 +85,8 @@
 	Accept(tokens map[string]int64) bool
 }
 
-// Knowledge is what this router can tell others.
-type Knowledge interface {
+// StateSource provides the state that this router serves to its peers.
+type StateSource interface {
 	// Known is all of it, for a router that starts.
 	Known() Known
 	// Feed is what this router follows in the store under a prefix; nil if it doesn't.
@@ -96,7 +96,7 @@
 // Service is what peers call.
 type Service struct {
 	lender    Lender
-	knowledge Knowledge
+	knowledge StateSource
 	clock     Clock
 	transfers *transfers
 	packer    packer
@@ -142,7 +142,7 @@
 }
 
 // Serve answers peers until the listener is closed.
-func Serve(l net.Listener, lender Lender, knowledge Knowledge, clock Clock) error {
+func Serve(l net.Listener, lender Lender, knowledge StateSource, clock Clock) error {
 	server := rpc.NewServer()
 	if err := server.RegisterName(serviceName, &Service{lender: lender, knowledge: knowledge, clock: clock, transfers: newTransfers()}); err != nil {
 		return err
--- a/internal/peers/wire_test.go
+++ b/internal/peers/wire_test.go
@@ -33,9 +33,9 @@
 		meaning string
 		status  FollowStatus
 	}{
-		{"followed", Followed},
-		{"no feed", NoFeed},
-		{"history lost", HistoryLost},
+		{"followed", FollowOK},
+		{"no feed", FollowNoFeed},
+		{"history lost", FollowCompacted},
 	} {
 		lines = append(lines, fmt.Sprintf("Status %d: %s", v.status, v.meaning))
 	}
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -17,8 +17,8 @@
 type Attempt struct {
 	Request *request.Request
 	Server  *fleet.Server
-	// Left is how long the server may work on it; zero: no bound.
-	Left time.Duration
+	// Timeout is how long the server may work on it; zero: no bound.
+	Timeout time.Duration
 	// ResumeAfter is the last event already had, if Resume.
 	ResumeAfter int64
 	Resume      bool
@@ -32,13 +32,13 @@
 	NotExecuted bool
 	Load        fleet.Load
 	HasLoad     bool
-	// Cold is how much longer the server is cold, as it says; zero: it is warm, or doesn't say.
-	Cold time.Duration
+	// ColdFor is how much longer the server is cold, as it says; zero: it is warm, or doesn't say.
+	ColdFor time.Duration
 	// RateLimit is what the answer says of the requests that the server takes.
 	RateLimit fleet.RateLimit
-	// Output is the output tokens of an answer that isn't a stream; OutputUnknown if
+	// OutputTokens is the output tokens of an answer that isn't a stream; OutputUnknown if
 	// the server should have told and didn't.
-	Output int
+	OutputTokens int
 	// KeepAlive is how long the server keeps the connection idle; 0 if unsaid.
 	KeepAlive time.Duration
 }
@@ -51,7 +51,7 @@
 type Codec interface {
 	// AppendHead appends the head up to and with its closing empty line.
 	AppendHead(buf []byte, a *Attempt) []byte
-	Meta(status int, header http.Header) Meta
+	ParseMeta(status int, header http.Header) Meta
 }
 
 // Errors of an exchange.
@@ -68,17 +68,17 @@
 
 // Error is a failed exchange: what it means for the request, and its cause.
 type Error struct {
-	Meaning error // ErrNotSent or ErrBroken
-	Cause   error
+	Kind  error // ErrNotSent or ErrBroken
+	Cause error
 }
 
 func (e *Error) Error() string {
-	return e.Meaning.Error() + ": " + e.Cause.Error()
+	return e.Kind.Error() + ": " + e.Cause.Error()
 }
 
 // Unwrap makes both the meaning and the cause visible to errors.Is and errors.As.
 func (e *Error) Unwrap() []error {
-	return []error{e.Meaning, e.Cause}
+	return []error{e.Kind, e.Cause}
 }
 
 // Reply is an answer whose body has not been read yet. Close must be called.
@@ -115,20 +115,20 @@
 func (c *Client) Do(ctx context.Context, a *Attempt) (*Reply, error) {
 	connection, err := c.connect(ctx, a.Server.Incarnation, a.Server.Address)
 	if err != nil {
-		return nil, &Error{Meaning: ErrNotSent, Cause: err}
+		return nil, &Error{Kind: ErrNotSent, Cause: err}
 	}
 	if a.Server.Ineligible() {
 		// A connection may take its time to come about. Sent after it, the request would
 		// reach a server later than what was known of it when it was chosen.
 		_ = connection.Close() // nothing was sent on it
-		return nil, &Error{Meaning: ErrNotSent, Cause: errClosed}
+		return nil, &Error{Kind: ErrNotSent, Cause: errClosed}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() }) // a second close changes nothing
 	reply, err := c.exchange(connection, a)
 	if err != nil {
 		stop()
 		_ = connection.Close() // the exchange's error is the one to report
-		return nil, &Error{Meaning: ErrBroken, Cause: err}
+		return nil, &Error{Kind: ErrBroken, Cause: err}
 	}
 	reply.stop = stop
 	return reply, nil
@@ -165,7 +165,7 @@
 		if err != nil {
 			return err
 		}
-		meta := r.client.codec.Meta(response.StatusCode, response.Header)
+		meta := r.client.codec.ParseMeta(response.StatusCode, response.Header)
 		if meta.RequestID == a.Request.ID || meta.RequestID == "" && response.StatusCode >= http.StatusBadRequest {
 			r.Status, r.Header, r.Meta = response.StatusCode, response.Header, meta
 			r.Length, r.response = response.ContentLength, response
@@ -234,9 +234,9 @@
 	}
 }
 
-// Silent says whether an error means that the peer gave no sign of life, as a
+// IsTimeout says whether an error means that the peer gave no sign of life, as a
 // VM without power or behind a cut does.
-func Silent(err error) bool {
+func IsTimeout(err error) bool {
 	var failure net.Error
 	return errors.As(err, &failure) && failure.Timeout()
 }
--- a/internal/upstream/headers.go
+++ b/internal/upstream/headers.go
@@ -12,17 +12,17 @@
 
 // HeaderNames are the header fields of one dialect of backend servers.
 type HeaderNames struct {
-	RequestID   string // both ways: which request a message belongs to
-	Server      string // the server that the request is meant for; another one rejects it
-	TimeLeft    string // how long the answer is waited for, in ms
-	LastEvent   string // the last event of the stream that the caller has
-	Account     string // who pays
-	Urgency     string // 0 to 9, 0 is first
-	NotExecuted string // of an answer: the server did not run the request
-	Load        string // of an answer: running, waiting and most running requests
-	Cold        string // of an answer: how much longer the server is cold, in ms; empty: never told
-	RateLimit   string // of an answer: requests a second that the server takes from all routers; empty: never told
-	Output      string // of a whole answer: its output tokens; empty: never told
+	RequestID    string // both ways: which request a message belongs to
+	ServerID     string // the server that the request is meant for; another one rejects it
+	TimeLeft     string // how long the answer is waited for, in ms
+	LastEventID  string // the last event of the stream that the caller has
+	Account      string // who pays
+	Priority     string // 0 to 9, 0 is first
+	NotExecuted  string // of an answer: the server did not run the request
+	Load         string // of an answer: running, waiting and most running requests
+	Cold         string // of an answer: how much longer the server is cold, in ms; empty: never told
+	RateLimit    string // of an answer: requests a second that the server takes from all routers; empty: never told
+	OutputTokens string // of a whole answer: its output tokens; empty: never told
 }
 
 // HeaderCodec is a Codec for dialects that differ in their header names only.
@@ -50,18 +50,18 @@
 		buf = appendField(buf, f.Name, f.Value)
 	}
 	buf = appendField(buf, c.Names.RequestID, r.ID)
-	buf = appendField(buf, c.Names.Server, a.Server.ID)
-	if a.Left > 0 {
-		buf = appendField(buf, c.Names.TimeLeft, strconv.FormatInt(max(1, a.Left.Milliseconds()), 10))
+	buf = appendField(buf, c.Names.ServerID, a.Server.ID)
+	if a.Timeout > 0 {
+		buf = appendField(buf, c.Names.TimeLeft, strconv.FormatInt(max(1, a.Timeout.Milliseconds()), 10))
 	}
 	if a.Resume {
-		buf = appendField(buf, c.Names.LastEvent, strconv.FormatInt(a.ResumeAfter, 10))
+		buf = appendField(buf, c.Names.LastEventID, strconv.FormatInt(a.ResumeAfter, 10))
 	}
 	if r.Account != nil {
 		buf = appendField(buf, c.Names.Account, r.Account.Name)
 	}
 	if r.HasTokenUsage {
-		buf = appendField(buf, c.Names.Urgency, strconv.Itoa(min(max(r.Priority(), mostUrgent), leastUrgent)))
+		buf = appendField(buf, c.Names.Priority, strconv.Itoa(min(max(r.Priority(), mostUrgent), leastUrgent)))
 	}
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
 		buf = appendField(buf, "Content-Length", strconv.Itoa(len(r.Body)))
@@ -76,8 +76,8 @@
 	return append(buf, "\r\n"...)
 }
 
-// Meta implements Codec.
-func (c HeaderCodec) Meta(_ int, header http.Header) Meta {
+// ParseMeta implements Codec.
+func (c HeaderCodec) ParseMeta(_ int, header http.Header) Meta {
 	meta := Meta{
 		RequestID:   header.Get(c.Names.RequestID),
 		NotExecuted: header.Get(c.Names.NotExecuted) != "",
@@ -85,13 +85,13 @@
 	}
 	meta.Load, meta.HasLoad = parseLoad(header.Get(c.Names.Load))
 	if c.Names.Cold != "" {
-		meta.Cold = parseCold(header.Get(c.Names.Cold))
+		meta.ColdFor = parseCold(header.Get(c.Names.Cold))
 	}
 	if c.Names.RateLimit != "" {
 		meta.RateLimit = parseRateLimit(header.Values(c.Names.RateLimit))
 	}
-	if c.Names.Output != "" {
-		meta.Output = outputOf(header.Get(c.Names.Output))
+	if c.Names.OutputTokens != "" {
+		meta.OutputTokens = outputOf(header.Get(c.Names.OutputTokens))
 	}
 	return meta
 }
--- a/internal/upstream/ratelimit_test.go
+++ b/internal/upstream/ratelimit_test.go
@@ -33,6 +33,6 @@
 	} {
 		codec := HeaderCodec{Names: HeaderNames{RateLimit: "X-Rate"}}
 		header := http.Header{"X-Rate": c.values}
-		qt.Check(t, codec.Meta(http.StatusOK, header).RateLimit, qt.Equals, c.want, qt.Commentf("%q", c.values))
+		qt.Check(t, codec.ParseMeta(http.StatusOK, header).RateLimit, qt.Equals, c.want, qt.Commentf("%q", c.values))
 	}
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -19,8 +19,8 @@
 	"chicorytiller.example/chicorytiller/internal/request"
 )
 
-var codec = HeaderCodec{Names: HeaderNames{RequestID: "X-Id", Server: "X-Server", TimeLeft: "X-Left", LastEvent: "Last-Event-Id",
-	Account: "X-Account", Urgency: "X-Urgency", NotExecuted: "X-Not-Run", Load: "X-Load"}}
+var codec = HeaderCodec{Names: HeaderNames{RequestID: "X-Id", ServerID: "X-Server", TimeLeft: "X-Left", LastEventID: "Last-Event-Id",
+	Account: "X-Account", Priority: "X-Urgency", NotExecuted: "X-Not-Run", Load: "X-Load"}}
 
 // closing at the end of an answer closes the connection behind it.
 const closing = "\x00"
@@ -96,16 +96,16 @@
 func TestHeadCarriesWhatTheServerMustKnow(t *testing.T) {
 	r := &request.Request{ID: "r1", Method: http.MethodPost, Host: "h", Target: "/x?y=1", Body: []byte("abc"), HasTokenUsage: true,
 		Headers: []request.HeaderField{{Name: "A", Value: "b"}}, Account: &policy.Account{Name: "boatyard", Priority: 12, HasPriority: true}}
-	a := &Attempt{Request: r, Server: fleet.NewServer(fleet.Entry{ID: "s1"}), Left: 1500 * time.Millisecond, Resume: true, ResumeAfter: 7}
+	a := &Attempt{Request: r, Server: fleet.NewServer(fleet.Entry{ID: "s1"}), Timeout: 1500 * time.Millisecond, Resume: true, ResumeAfter: 7}
 	qt.Assert(t, string(codec.AppendHead(nil, a)), qt.Equals, "POST /x?y=1 HTTP/1.1\r\nHost: h\r\nA: b\r\nX-Id: r1\r\nX-Server: s1\r\n"+
 		"X-Left: 1500\r\nLast-Event-Id: 7\r\nX-Account: boatyard\r\nX-Urgency: 9\r\nContent-Length: 3\r\n\r\n")
 }
 
 func TestMetaIsReadOrLeftOut(t *testing.T) {
-	meta := codec.Meta(200, http.Header{"X-Id": {"r1"}, "X-Load": {"3, 0,8"}, "X-Not-Run": {"1"}, "Keep-Alive": {"max=9, timeout=5"}})
+	meta := codec.ParseMeta(200, http.Header{"X-Id": {"r1"}, "X-Load": {"3, 0,8"}, "X-Not-Run": {"1"}, "Keep-Alive": {"max=9, timeout=5"}})
 	qt.Assert(t, meta, qt.Equals, Meta{RequestID: "r1", NotExecuted: true, Load: fleet.Load{Running: 3, Slots: 8}, HasLoad: true, KeepAlive: 5 * time.Second})
 	for _, load := range []string{"", "1,2", "1,2,x", "1,2,-3", "1,2,3,4"} {
-		qt.Check(t, codec.Meta(200, http.Header{"X-Load": {load}}).HasLoad, qt.IsFalse, qt.Commentf("%q", load))
+		qt.Check(t, codec.ParseMeta(200, http.Header{"X-Load": {load}}).HasLoad, qt.IsFalse, qt.Commentf("%q", load))
 	}
 }
 
