--- a/cmd/chicory-edge/main.go
+++ b/cmd/chicory-edge/main.go
@@ -23,7 +23,7 @@
 	return node.Environment{
 		Store:            platform.NewStore(settings.StoreAddr),
 		Clock:            clock,
-		Now:              store.BootNow,
+		Now:              store.BoottimeNow,
 		ConfigPrefix:     platform.ConfigPrefix,
 		IsConfig:         platform.IsConfig,
 		DecodeConfig:     platform.DecodeConfig,
--- a/cmd/chicory-platform/main.go
+++ b/cmd/chicory-platform/main.go
@@ -38,14 +38,14 @@
 
 // someLost loses the answers of some writes: a third of these are done, a third are
 // done later, a third never.
-func someLost(store.Txn) memstore.Fate {
+func someLost(store.Txn) memstore.Outcome {
 	if rand.Float64() >= lostShare {
 		return memstore.Answered
 	}
-	return []memstore.Fate{memstore.Lost, memstore.Late, memstore.Dropped}[rand.IntN(3)]
+	return []memstore.Outcome{memstore.ResponseLost, memstore.Delayed, memstore.Dropped}[rand.IntN(3)]
 }
 
-func allAnswered(store.Txn) memstore.Fate {
+func allAnswered(store.Txn) memstore.Outcome {
 	return memstore.Answered
 }
 
@@ -61,10 +61,10 @@
 	mux.HandleFunc("POST /stand-in/down", func(http.ResponseWriter, *http.Request) { kept.SetDown(true) })
 	mux.HandleFunc("POST /stand-in/up", func(http.ResponseWriter, *http.Request) { kept.SetDown(false) })
 	mux.HandleFunc("POST /stand-in/compact", func(http.ResponseWriter, *http.Request) { kept.Compact() })
-	mux.HandleFunc("POST /stand-in/lose", func(http.ResponseWriter, *http.Request) { kept.SetFate(someLost) })
+	mux.HandleFunc("POST /stand-in/lose", func(http.ResponseWriter, *http.Request) { kept.SetOutcome(someLost) })
 	mux.HandleFunc("POST /stand-in/answer", func(http.ResponseWriter, *http.Request) {
-		kept.SetFate(allAnswered)
-		kept.Settle()
+		kept.SetOutcome(allAnswered)
+		kept.ApplyDelayed()
 	})
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 	return server.Serve(listener)
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -134,7 +134,7 @@
 	code, _ = o.run("", "budget", "list")
 	o.Check(code, qt.Equals, ExitUnreachable)
 	o.store.SetDown(false)
-	o.store.SetFate(func(store.Txn) memstore.Fate { return memstore.Lost })
+	o.store.SetOutcome(func(store.Txn) memstore.Outcome { return memstore.ResponseLost })
 	code, _ = o.run(document(unchanged), "config", "apply", "-")
 	o.Check(code, qt.Equals, ExitNotYetKnown)
 	code, out := o.run("", "key", "new")
--- a/internal/escrow/ceiling_test.go
+++ b/internal/escrow/ceiling_test.go
@@ -30,14 +30,14 @@
 func TestLateLedgerDoesNotReplaceANewerOne(t *testing.T) {
 	c := qt.New(t)
 	b, m, _ := startTestbed()
-	b.store.SetFate(func(store.Txn) memstore.Fate { return memstore.Late })
+	b.store.SetOutcome(func(store.Txn) memstore.Outcome { return memstore.Delayed })
 	b.steady += time.Second
 	m.syncStore(context.Background(), true)
-	b.store.SetFate(func(store.Txn) memstore.Fate { return memstore.Answered })
+	b.store.SetOutcome(func(store.Txn) memstore.Outcome { return memstore.Answered })
 	b.steady += 2 * time.Second // the contact lease that the late write is bound to still runs
 	m.syncStore(context.Background(), true)
 	newest := storedLedger(c, b)
-	b.store.Settle()
+	b.store.ApplyDelayed()
 	c.Assert(storedLedger(c, b), qt.DeepEquals, newest)
 }
 
@@ -49,7 +49,7 @@
 	c.Assert(g.granted > ceiling, qt.IsTrue)
 
 	b.home, b.prepaid["boatyard"] = "elsewhere", 500_000
-	b.store.SetFate(func(store.Txn) memstore.Fate { return memstore.Late })
+	b.store.SetOutcome(func(store.Txn) memstore.Outcome { return memstore.Delayed })
 	b.steady += time.Second
 	m.syncStore(context.Background(), true)
 	c.Assert(g.granted, qt.Equals, ceiling)
@@ -87,7 +87,7 @@
 	g.rate, g.rateWeight, g.rateUpdatedAt = 100_000, 1, b.steady
 	m.syncStore(context.Background(), true)
 	g.rate = 1_000
-	b.store.SetFate(func(store.Txn) memstore.Fate { return memstore.Late })
+	b.store.SetOutcome(func(store.Txn) memstore.Outcome { return memstore.Delayed })
 	m.syncStore(context.Background(), true)
 	c.Assert(m.readRecords(context.Background()), qt.IsTrue)
 	c.Assert(g.allowance.Ceiling, qt.Equals, int64(initialCeilingShare*1_000_000))
@@ -181,12 +181,12 @@
 	g.rate, g.rateWeight, g.rateUpdatedAt = 100_000, 1, b.steady
 	m.syncStore(context.Background(), true)
 	usual := g.allowance.Ceiling
-	b.store.SetFate(func(store.Txn) memstore.Fate {
+	b.store.SetOutcome(func(store.Txn) memstore.Outcome {
 		b.steady += callTimeout
-		return memstore.Lost
+		return memstore.ResponseLost
 	})
 	m.syncStore(context.Background(), true)
-	b.store.SetFate(func(store.Txn) memstore.Fate { return memstore.Answered })
+	b.store.SetOutcome(func(store.Txn) memstore.Outcome { return memstore.Answered })
 	g.rateUpdatedAt = b.steady // no time for the rate to fall
 	m.syncStore(context.Background(), true)
 	c.Assert(m.isStoreDown(), qt.IsFalse)
--- a/internal/escrow/draw.go
+++ b/internal/escrow/draw.go
@@ -91,7 +91,7 @@
 	m.lastContact = lastContact
 	m.lowerAllowances(d.ledger)
 	key := m.opts.Prefix + ledgerKeyPrefix + m.opts.VM
-	d.txn.Expect = append(d.txn.Expect, store.Expect{Key: key, Revision: store.Revision(m.ledgerRevision)})
+	d.txn.Conditions = append(d.txn.Conditions, store.Condition{Key: key, Revision: store.Revision(m.ledgerRevision)})
 	d.txn.Puts = append(d.txn.Puts, store.Put{Key: key, Value: d.ledger.Encode()})
 	if m.contactLease != 0 && !m.contactWritten {
 		contact := store.Put{Key: m.opts.Prefix + contactKeyPrefix + m.opts.VM, Value: []byte(m.opts.Incarnation), Lease: m.contactLease}
@@ -147,7 +147,7 @@
 // putRecord adds the write of a record on condition that its revision is unchanged.
 func (d *draw) putRecord(key string, revision int64, next Record) {
 	d.records = append(d.records, next)
-	d.txn.Expect = append(d.txn.Expect, store.Expect{Key: key, Revision: store.Revision(revision)})
+	d.txn.Conditions = append(d.txn.Conditions, store.Condition{Key: key, Revision: store.Revision(revision)})
 	d.txn.Puts = append(d.txn.Puts, store.Put{Key: key, Value: next.Encode()})
 }
 
--- a/internal/escrow/keeper.go
+++ b/internal/escrow/keeper.go
@@ -281,13 +281,13 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if m.contactLease != 0 {
-		err := m.opts.Store.Renew(ctx, m.contactLease)
+		err := m.opts.Store.RenewLease(ctx, m.contactLease)
 		if !errors.Is(err, store.ErrLeaseGone) {
 			return // the next write will find any other failure
 		}
 		m.contactLease, m.contactWritten = 0, false
 	}
-	lease, err := m.opts.Store.Grant(ctx, contactLeaseTTL)
+	lease, err := m.opts.Store.GrantLease(ctx, contactLeaseTTL)
 	if err != nil {
 		m.opts.Log.Emit(event.LeaseLost, slog.String("lease_of", "contact"), slog.Any(event.KeyCause, err))
 		return
--- a/internal/escrow/world_test.go
+++ b/internal/escrow/world_test.go
@@ -271,12 +271,12 @@
 
 // fates makes the store lose answers, or do writes late.
 func (w *cluster) fates(*rapid.T) {
-	fate := rapid.SampledFrom([]memstore.Fate{memstore.Answered, memstore.Answered, memstore.Answered, memstore.Lost, memstore.Late, memstore.Dropped}).Draw(w.t, "fate")
-	w.store.SetFate(func(store.Txn) memstore.Fate { return fate })
+	fate := rapid.SampledFrom([]memstore.Outcome{memstore.Answered, memstore.Answered, memstore.Answered, memstore.ResponseLost, memstore.Delayed, memstore.Dropped}).Draw(w.t, "fate")
+	w.store.SetOutcome(func(store.Txn) memstore.Outcome { return fate })
 }
 
 func (w *cluster) settleLate(*rapid.T) {
-	w.store.Settle()
+	w.store.ApplyDelayed()
 }
 
 // check is the promise: nobody consumes more than was paid, also if all that is
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -102,7 +102,7 @@
 // store sends no further answer.
 func TestGracePeriodEndsWithoutStoreAnswer(t *testing.T) {
 	r, c := newRegistry()
-	r.Contact(true, nil)
+	r.SetReachable(true, nil)
 	r.Reset([]store.Item{entryItem("a", 1, false), entryItem("b", 2, false)}, store.Silence{})
 	c.advance(10 * time.Second)
 	r.Reset([]store.Item{entryItem("b", 2, false)}, outage(10*time.Second))
@@ -115,13 +115,13 @@
 // first.
 func TestSecondOutageRestartsGracePeriod(t *testing.T) {
 	r, c := newRegistry()
-	r.Contact(true, nil)
+	r.SetReachable(true, nil)
 	r.Reset([]store.Item{entryItem("a", 1, false)}, store.Silence{})
 	c.advance(10 * time.Second)
 	r.Apply([]store.Event{deletion("a", 3)}, outage(10*time.Second))
-	r.Contact(false, store.ErrUnavailable)
+	r.SetReachable(false, store.ErrUnavailable)
 	c.advance(5 * time.Second)
-	r.Contact(true, nil)
+	r.SetReachable(true, nil)
 	r.Apply(nil, outage(5*time.Second))
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"a"})
 }
@@ -245,14 +245,14 @@
 // be no router left to borrow tokens from.
 func TestMembersSurviveTwoOutages(t *testing.T) {
 	m, c := newMembers()
-	m.Contact(true, nil)
+	m.SetReachable(true, nil)
 	m.Reset([]store.Item{memberItem("a"), memberItem("b")}, store.Silence{})
 	c.advance(9 * time.Second)
 	m.Apply([]store.Event{{Item: memberItem("a"), Deleted: true}, {Item: memberItem("b"), Deleted: true}}, outage(9*time.Second))
-	m.Contact(false, store.ErrUnavailable)
+	m.SetReachable(false, store.ErrUnavailable)
 	c.advance(3 * time.Second)
 	qt.Assert(t, m.List(), qt.HasLen, 2)
-	m.Contact(true, nil)
+	m.SetReachable(true, nil)
 	qt.Assert(t, m.List(), qt.HasLen, 2, qt.Commentf("before the answer is applied"))
 	m.Apply(nil, outage(3*time.Second))
 	qt.Assert(t, m.List(), qt.HasLen, 2)
@@ -263,7 +263,7 @@
 // A router whose lease expires while the store is reachable is removed at once.
 func TestExpiredMemberIsRemoved(t *testing.T) {
 	m, _ := newMembers()
-	m.Contact(true, nil)
+	m.SetReachable(true, nil)
 	m.Reset([]store.Item{memberItem("a"), memberItem("b")}, store.Silence{})
 	m.Apply([]store.Event{{Item: memberItem("a"), Deleted: true}}, normalSilence)
 	qt.Assert(t, m.List(), qt.DeepEquals, []Member{{Name: "b"}})
--- a/internal/fleet/lapses_test.go
+++ b/internal/fleet/lapses_test.go
@@ -13,7 +13,7 @@
 // not an outage.
 func TestQuietStoreIsNotAnOutage(t *testing.T) {
 	m, _ := newMembers()
-	m.Contact(true, nil)
+	m.SetReachable(true, nil)
 	m.Reset([]store.Item{memberItem("a"), memberItem("b")}, store.Silence{})
 	m.Apply([]store.Event{{Item: memberItem("a"), Deleted: true}}, store.Silence{Length: maxMemberSilence + time.Second})
 	qt.Assert(t, m.List(), qt.DeepEquals, []Member{{Name: "b"}})
@@ -24,7 +24,7 @@
 func TestSeededEntriesSurviveFirstRead(t *testing.T) {
 	m, c := newMembers()
 	m.Seed([]store.Item{memberItem("a")})
-	m.Contact(true, nil)
+	m.SetReachable(true, nil)
 	m.Reset(nil, store.Silence{})
 	qt.Assert(t, m.List(), qt.HasLen, 1)
 	c.advance(gracePeriod)
@@ -60,8 +60,8 @@
 	c.advance(10 * time.Second)
 	r.Reset(nil, outage(10*time.Second))
 	c.advance(gracePeriod - 100*time.Millisecond)
-	r.Contact(false, store.ErrUnavailable)
-	r.Contact(true, nil)
+	r.SetReachable(false, store.ErrUnavailable)
+	r.SetReachable(true, nil)
 	r.Apply(nil, outage(repeatOutageSilence-time.Millisecond))
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"a"})
 	c.advance(100 * time.Millisecond)
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -68,10 +68,10 @@
 		expired: make(map[string]bool), grace: grace{now: now, usualSilence: maxMemberSilence}}
 }
 
-// Contact implements store.Sink. While the store is unreachable, missing members can't
+// SetReachable implements store.Sink. While the store is unreachable, missing members can't
 // reregister and are not dropped; otherwise a second outage right after the first would empty
 // the list. Only Reset and Apply, which carry the store's answer, mark it reachable again.
-func (m *Members) Contact(reached bool, cause error) {
+func (m *Members) SetReachable(reached bool, cause error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !reached {
--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -89,9 +89,9 @@
 	return r.view.Load()
 }
 
-// Contact implements store.Sink. Only Reset and Apply, which carry the store's answer, mark it
+// SetReachable implements store.Sink. Only Reset and Apply, which carry the store's answer, mark it
 // reachable again: otherwise missing entries could be dropped before that answer is applied.
-func (r *Registry) Contact(reached bool, cause error) {
+func (r *Registry) SetReachable(reached bool, cause error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !reached {
--- a/internal/idempotency/guard.go
+++ b/internal/idempotency/guard.go
@@ -85,7 +85,7 @@
 	}
 	c := claim{key: g.Prefix + r.Account.Name + "/" + hashKey(r.Idempotency.Key), lease: lease,
 		record: record{State: running, Request: r.ID, Hash: r.Idempotency.RequestHash}}
-	txn := store.Txn{Expect: []store.Expect{{Key: c.key}}, Puts: []store.Put{{Key: c.key, Value: c.record.encode(), Lease: lease}}}
+	txn := store.Txn{Conditions: []store.Condition{{Key: c.key}}, Puts: []store.Put{{Key: c.key, Value: c.record.encode(), Lease: lease}}}
 	var result store.Result
 	for range claimTries {
 		result, err = g.commit(ctx, txn)
@@ -121,7 +121,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	granted := time.Now()
-	lease, err := g.Store.Grant(ctx, KeyRetention+leaseUse)
+	lease, err := g.Store.GrantLease(ctx, KeyRetention+leaseUse)
 	if err != nil {
 		return 0, err
 	}
@@ -173,9 +173,9 @@
 // where a repeat may run. A claim whose end can't be written stays "running": its
 // repeats are refused until it lapses, which is safe.
 func (g *Guard) conclude(r *request.Request, c claim, recorded *recorder) {
-	txn := store.Txn{Expect: []store.Expect{{Key: c.key, Revision: c.revision}}}
+	txn := store.Txn{Conditions: []store.Condition{{Key: c.key, Revision: c.revision}}}
 	if mayRunAgain(r, recorded) {
-		txn.Removes = []string{c.key}
+		txn.Deletes = []string{c.key}
 	} else {
 		c.record.State = recorded.outcome()
 		if c.record.State == answered {
--- a/internal/idempotency/guard_test.go
+++ b/internal/idempotency/guard_test.go
@@ -93,10 +93,10 @@
 func TestLostAnswerOfTheClaim(t *testing.T) {
 	b := newBench(t)
 	lost := 0
-	b.store.SetFate(func(store.Txn) memstore.Fate {
+	b.store.SetOutcome(func(store.Txn) memstore.Outcome {
 		lost++
 		if lost == 1 {
-			return memstore.Lost
+			return memstore.ResponseLost
 		}
 		return memstore.Answered
 	})
--- a/internal/native/dialect.go
+++ b/internal/native/dialect.go
@@ -13,7 +13,7 @@
 	return node.Environment{
 		Store:            s,
 		Clock:            clock,
-		Now:              store.BootNow,
+		Now:              store.BoottimeNow,
 		ConfigPrefix:     ConfigPrefix,
 		IsConfig:         IsConfig,
 		DecodeConfig:     DecodeConfig,
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -60,7 +60,7 @@
 func (n *Node) register(ctx context.Context) store.LeaseID {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	lease, err := n.env.Store.Grant(ctx, entryLeaseTTL)
+	lease, err := n.env.Store.GrantLease(ctx, entryLeaseTTL)
 	if err != nil {
 		n.log.Emit(event.LeaseLost, slog.Any(event.KeyCause, err))
 		return 0
@@ -84,7 +84,7 @@
 func (n *Node) renew(ctx context.Context, lease store.LeaseID) store.LeaseID {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	err := n.env.Store.Renew(ctx, lease)
+	err := n.env.Store.RenewLease(ctx, lease)
 	if errors.Is(err, store.ErrLeaseGone) {
 		n.log.Emit(event.LeaseLost, slog.Int64("lease", int64(lease)), slog.Any(event.KeyCause, err))
 		return 0
@@ -99,7 +99,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), storeCallTimeout)
 	defer cancel()
-	if err := n.env.Store.End(ctx, lease); err != nil {
+	if err := n.env.Store.RevokeLease(ctx, lease); err != nil {
 		n.log.Emit(event.LeaseLost, slog.Int64("lease", int64(lease)), slog.Any(event.KeyCause, err))
 	}
 }
@@ -138,7 +138,7 @@
 func (n *Node) publishQuarantineReport(ctx context.Context, hash uint64) {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	lease, err := n.env.Store.Grant(ctx, quarantineReportTTL)
+	lease, err := n.env.Store.GrantLease(ctx, quarantineReportTTL)
 	if err == nil {
 		key := quarantinePrefix + strconv.FormatUint(hash, 16)
 		_, err = n.env.Store.Commit(ctx, store.Txn{Puts: []store.Put{{Key: key, Value: []byte(n.settings.VM), Lease: lease}}})
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -40,32 +40,32 @@
 // spaced over all of them.
 func (n *Node) followers(r store.Relay) []*store.Follower {
 	followers := []*store.Follower{n.configFollower(), n.serversFollower(), n.fleetFollower()}
-	gate := &store.Gate{}
+	backoff := &store.Backoff{}
 	for _, f := range followers {
-		f.Store, f.Gate, f.Feed, f.Now = n.env.Store, gate, n.feeds[f.Prefix], n.env.Now
+		f.Store, f.Backoff, f.Feed, f.Now = n.env.Store, backoff, n.feeds[f.Prefix], n.env.Now
 		f.Relay = r
 		f.SourceChanged = n.logSourceChange(f.Prefix)
-		f.Checked = n.logStaleCheck(f.Prefix)
+		f.StaleCheckStarted = n.logStaleCheck(f.Prefix)
 	}
 	return followers
 }
 
 func (n *Node) configFollower() *store.Follower {
 	return &store.Follower{Prefix: n.env.ConfigPrefix, Sink: &configSink{node: n},
-		Wait: configWatchWait, Pause: configWatchPause, CheckAfter: configCheckAfter, Patience: watchMargin}
+		MaxWait: configWatchWait, Pause: configWatchPause, CheckAfter: configCheckAfter, Timeout: watchMargin}
 }
 
 func (n *Node) serversFollower() *store.Follower {
 	drain := max(n.settings.DrainTime, minDrain)
 	scale := func(fraction float64) time.Duration { return time.Duration(fraction * float64(drain)) }
 	return &store.Follower{Prefix: n.env.ServersPrefix, Sink: n.registry,
-		Wait: scale(serversWatchWaitFraction), Pause: scale(serversWatchPauseFraction), CheckAfter: scale(serversCheckAfterFraction),
-		Patience: watchMargin, Burst: serversBurst}
+		MaxWait: scale(serversWatchWaitFraction), Pause: scale(serversWatchPauseFraction), CheckAfter: scale(serversCheckAfterFraction),
+		Timeout: watchMargin, Burst: serversBurst}
 }
 
 func (n *Node) fleetFollower() *store.Follower {
-	return &store.Follower{Prefix: fleetPrefix, Sink: &fleetSink{node: n}, Learned: n.membership.confirm,
-		Wait: fleetWatchWait, Pause: fleetWatchPause, CheckAfter: fleetCheckAfter, Patience: watchMargin}
+	return &store.Follower{Prefix: fleetPrefix, Sink: &fleetSink{node: n}, Confirmed: n.membership.confirm,
+		MaxWait: fleetWatchWait, Pause: fleetWatchPause, CheckAfter: fleetCheckAfter, Timeout: watchMargin}
 }
 
 // logSourceChange returns a store.Follower.SourceChanged callback that logs whether the follower
@@ -92,7 +92,7 @@
 	node *Node
 }
 
-func (s *configSink) Contact(reached bool, cause error) {
+func (s *configSink) SetReachable(reached bool, cause error) {
 	fleet.LogContact(s.node.log, "configuration", reached, cause)
 }
 
@@ -140,8 +140,8 @@
 	node *Node
 }
 
-func (s *fleetSink) Contact(reached bool, cause error) {
-	s.node.members.Contact(reached, cause)
+func (s *fleetSink) SetReachable(reached bool, cause error) {
+	s.node.members.SetReachable(reached, cause)
 }
 
 func (s *fleetSink) Reset(items []store.Item, silence store.Silence) {
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -85,14 +85,14 @@
 	return snapshot, s.reply(ctx)
 }
 
-func (s *faultyStore) ReadAnew(ctx context.Context, prefix string) (store.Snapshot, error) {
+func (s *faultyStore) ReadNewConn(ctx context.Context, prefix string) (store.Snapshot, error) {
 	if err := s.connect(ctx); err != nil {
 		return store.Snapshot{}, err
 	}
 	return s.Read(ctx, prefix)
 }
 
-func (s *faultyStore) WatchAnew(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
+func (s *faultyStore) WatchNewConn(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
 	if err := s.connect(ctx); err != nil {
 		return store.Changes{}, err
 	}
@@ -124,7 +124,7 @@
 		case <-time.After(wait):
 		}
 		if !lost {
-			store.Connected(ctx)
+			store.ReportConnected(ctx)
 			return nil
 		}
 	}
@@ -158,12 +158,12 @@
 // unusedRelay is the relay of a store reader, which follows the store itself.
 type unusedRelay struct{ store.Relay }
 
-func (unusedRelay) Used() bool { return false }
+func (unusedRelay) Active() bool { return false }
 
 // silentRelay is the relay of a router that cannot reach the store reader that it follows.
 type silentRelay struct{}
 
-func (silentRelay) Used() bool { return true }
+func (silentRelay) Active() bool { return true }
 
 func (silentRelay) Read(ctx context.Context, _ string, _ store.Revision) (store.Snapshot, error) {
 	return store.Snapshot{}, awaitCallTimeout(ctx)
@@ -176,7 +176,7 @@
 // relayWithoutFeed is the relay of a router whose store reader has no feed.
 type relayWithoutFeed struct{}
 
-func (relayWithoutFeed) Used() bool { return true }
+func (relayWithoutFeed) Active() bool { return true }
 
 func (relayWithoutFeed) Read(context.Context, string, store.Revision) (store.Snapshot, error) {
 	return store.Snapshot{}, store.ErrNoFeed
@@ -285,7 +285,7 @@
 			time.Sleep(8*time.Second + phase)
 			f.store.set(func() { f.store.partitioned = false })
 			time.Sleep(leaveDelay)
-			f.store.Remove("servers/a")
+			f.store.Delete("servers/a")
 			time.Sleep(max(drain, recoveryTime-leaveDelay))
 			f.Assert(f.inUse("a"), qt.IsFalse)
 			f.Assert(f.inUse("b"), qt.IsTrue)
@@ -307,7 +307,7 @@
 					runFollowerTest(t, relay, func(f *followerTest) {
 						f.store.set(func() { f.store.partitioned, f.store.watchesHang, f.store.rtt = true, true, rtt })
 						time.Sleep(leaveDelay)
-						f.store.Remove("servers/a")
+						f.store.Delete("servers/a")
 						time.Sleep(9*time.Second + phase)
 						f.store.set(func() { f.store.partitioned = false })
 						time.Sleep(retransmission)
@@ -363,7 +363,7 @@
 					runFollowerTest(t, relay, func(f *followerTest) {
 						set(f.store, true)
 						time.Sleep(8*time.Second + phase)
-						f.store.Remove("servers/a")
+						f.store.Delete("servers/a")
 						set(f.store, false)
 						for range returnTime / phaseStep {
 							time.Sleep(phaseStep)
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -77,7 +77,7 @@
 
 func (w *limitWriter) commit(ctx context.Context, record pacing.Record) error {
 	if w.lease == 0 || time.Since(w.granted) > limitLeaseReuseTime {
-		lease, err := w.node.env.Store.Grant(ctx, limitLeaseTTL)
+		lease, err := w.node.env.Store.GrantLease(ctx, limitLeaseTTL)
 		if err != nil {
 			return err
 		}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -82,7 +82,7 @@
 	outcomeFailed   = "failed"
 )
 
-// CountStoreCall counts one call to the store. It is the callback of store.Counted.
+// CountStoreCall counts one call to the store. It is the callback of store.CountingStore.
 func (m *Metrics) CountStoreCall(kind, subject string, err error) {
 	outcome, key := outcomeAnswered, kind+" "+subject
 	if err != nil && !errors.Is(err, store.ErrConflict) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -146,14 +146,14 @@
 func New(s *Settings, env Environment, log *event.Log, incarnation string) *Node {
 	n := &Node{settings: s, env: env, log: log, incarnation: incarnation, metrics: NewMetrics(), quarantineReports: make(chan uint64, maxPendingReports),
 		stopSignal: make(chan struct{}), createdAt: time.Now()}
-	env.Store = store.Counted{Store: env.Store, Count: n.metrics.CountStoreCall}
+	env.Store = store.CountingStore{Store: env.Store, Count: n.metrics.CountStoreCall}
 	n.env.Store = env.Store
 	n.registry = fleet.NewRegistry(env.DecodeServer, log, nil)
 	n.registry.SetWarmUp(n.warmUp)
 	n.evacuations = fleet.NewEvacuations(env.EvacuatedDomain, n.registry, log)
 	n.members = fleet.NewMembers(decodeMember, log, nil)
 	n.feeds = map[string]*store.Feed{
-		env.ConfigPrefix: {Now: env.Now}, fleetPrefix: {Now: env.Now}, env.ServersPrefix: {Now: env.Now, Same: n.registry.Same},
+		env.ConfigPrefix: {Now: env.Now}, fleetPrefix: {Now: env.Now}, env.ServersPrefix: {Now: env.Now, Equivalent: n.registry.Same},
 	}
 	n.retries = retry.NewBudget(retryLimits(s), 1, nil)
 	n.quarantine = retry.NewQuarantine(nil)
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -56,8 +56,8 @@
 	wait time.Duration
 }
 
-// Used implements store.Relay.
-func (r *relay) Used() bool {
+// Active implements store.Relay.
+func (r *relay) Active() bool {
 	return len(r.addresses()) > 0
 }
 
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -54,11 +54,11 @@
 	return s.Store.Read(ctx, prefix)
 }
 
-func (s *countingStore) ReadAnew(ctx context.Context, prefix string) (store.Snapshot, error) {
+func (s *countingStore) ReadNewConn(ctx context.Context, prefix string) (store.Snapshot, error) {
 	return s.Read(ctx, prefix)
 }
 
-func (s *countingStore) WatchAnew(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
+func (s *countingStore) WatchNewConn(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
 	return s.Watch(ctx, prefix, after, wait)
 }
 
@@ -110,7 +110,7 @@
 		f.run(n)
 		f.Cleanup(func() { _ = n.peerListener.Close() }) // the test is over
 		f.waitFor(func() bool { return len(n.members.List()) == routers && n.policy.Load() != nil })
-		if !(&relay{node: n}).Used() {
+		if !(&relay{node: n}).Active() {
 			f.Assert(f.storeReader, qt.Equals, "", qt.Commentf("a fleet of this size has one store reader"))
 			f.storeReader = vm
 		}
--- a/internal/operate/evacuate.go
+++ b/internal/operate/evacuate.go
@@ -36,7 +36,7 @@
 	}
 	for _, name := range evacuated {
 		if name == domain {
-			_, err := s.Commit(ctx, store.Txn{Removes: []string{native.EvacuatePrefix + domain}})
+			_, err := s.Commit(ctx, store.Txn{Deletes: []string{native.EvacuatePrefix + domain}})
 			return err
 		}
 	}
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -58,8 +58,8 @@
 		return errors.Wrap(ErrInvalid, err.Error())
 	}
 	_, err = s.Commit(ctx, store.Txn{
-		Expect: []store.Expect{{Key: native.ConfigKey, Revision: at}},
-		Puts:   []store.Put{{Key: native.ConfigKey, Value: data}},
+		Conditions: []store.Condition{{Key: native.ConfigKey, Revision: at}},
+		Puts:       []store.Put{{Key: native.ConfigKey, Value: data}},
 	})
 	if errors.Is(err, store.ErrConflict) {
 		return errors.Wrap(ErrRaced, "the document")
@@ -137,7 +137,7 @@
 	txn := store.Txn{}
 	for _, item := range snapshot.Items {
 		if _, kept := entries[item.Key]; !kept {
-			txn.Removes = append(txn.Removes, item.Key)
+			txn.Deletes = append(txn.Deletes, item.Key)
 		}
 	}
 	for key, value := range entries {
@@ -180,7 +180,7 @@
 			return err
 		}
 		entry.Leaving = true
-		txn.Expect = append(txn.Expect, store.Expect{Key: item.Key, Revision: item.Revision})
+		txn.Conditions = append(txn.Conditions, store.Condition{Key: item.Key, Revision: item.Revision})
 		txn.Puts = append(txn.Puts, store.Put{Key: item.Key, Value: entry.Encode()})
 	}
 	_, err = s.Commit(ctx, txn)
--- a/internal/peers/pack_test.go
+++ b/internal/peers/pack_test.go
@@ -70,7 +70,7 @@
 	feed := &store.Feed{}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	follower := &store.Follower{Store: memory, Prefix: "a/", Sink: ignore{}, Feed: feed, Wait: time.Hour, CheckAfter: time.Hour, Patience: time.Hour}
+	follower := &store.Follower{Store: memory, Prefix: "a/", Sink: ignore{}, Feed: feed, MaxWait: time.Hour, CheckAfter: time.Hour, Timeout: time.Hour}
 	go follower.Run(ctx)
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -91,7 +91,7 @@
 // ignore is a sink that keeps nothing.
 type ignore struct{}
 
-func (ignore) Contact(bool, error)                {}
+func (ignore) SetReachable(bool, error)           {}
 func (ignore) Reset([]store.Item, store.Silence)  {}
 func (ignore) Apply([]store.Event, store.Silence) {}
 
--- a/internal/store/age_test.go
+++ b/internal/store/age_test.go
@@ -66,12 +66,12 @@
 
 const roundTrip = 5 * time.Millisecond
 
-func (s fatedStore) ReadAnew(ctx context.Context, prefix string) (store.Snapshot, error) {
+func (s fatedStore) ReadNewConn(ctx context.Context, prefix string) (store.Snapshot, error) {
 	time.Sleep(roundTrip)
 	return s.Store.Read(ctx, prefix)
 }
 
-func (s fatedStore) WatchAnew(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
+func (s fatedStore) WatchNewConn(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
 	time.Sleep(roundTrip)
 	return s.Store.Watch(ctx, prefix, after, wait)
 }
@@ -98,7 +98,7 @@
 
 const relayTimeout = 750 * time.Millisecond
 
-func (r fatedRelay) Used() bool { return true }
+func (r fatedRelay) Active() bool { return true }
 
 func (r fatedRelay) Read(ctx context.Context, _ string, after store.Revision) (store.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
@@ -136,7 +136,7 @@
 	}
 }
 
-func (l *lastValue) Contact(bool, error) {}
+func (l *lastValue) SetReachable(bool, error) {}
 
 func (l *lastValue) put(item store.Item) {
 	l.mu.Lock()
@@ -166,8 +166,8 @@
 			s.Put("a/x", []byte("0"))
 			feed := &store.Feed{}
 			sinks := map[string]*lastValue{"reader": {}, "follower": {}}
-			usual := store.Follower{Prefix: "a/", Wait: time.Second, Pause: 200 * time.Millisecond, Burst: 4,
-				Patience: 500 * time.Millisecond, CheckAfter: checkAfter}
+			usual := store.Follower{Prefix: "a/", MaxWait: time.Second, Pause: 200 * time.Millisecond, Burst: 4,
+				Timeout: 500 * time.Millisecond, CheckAfter: checkAfter}
 			reader, follower := usual, usual
 			reader.Store, reader.Feed, reader.Sink = fatedStore{s, readers}, feed, sinks["reader"]
 			follower.Store, follower.Relay, follower.Sink = fatedStore{s, followers}, fatedRelay{feed, others}, sinks["follower"]
@@ -202,11 +202,11 @@
 	return store.Snapshot{}, store.ErrOutcomeUnknown
 }
 
-func (s cutStore) ReadAnew(ctx context.Context, prefix string) (store.Snapshot, error) {
+func (s cutStore) ReadNewConn(ctx context.Context, prefix string) (store.Snapshot, error) {
 	return s.Read(ctx, prefix)
 }
 
-func (s cutStore) WatchAnew(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
+func (s cutStore) WatchNewConn(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
 	return s.Watch(ctx, prefix, after, wait)
 }
 
@@ -223,8 +223,8 @@
 			s := memstore.New(nil)
 			s.Put("a/x", []byte("0"))
 			feed, sink := &store.Feed{}, &lastValue{}
-			reader := store.Follower{Store: s, Prefix: "a/", Wait: time.Second, Pause: 200 * time.Millisecond,
-				Patience: 500 * time.Millisecond, CheckAfter: 1400 * time.Millisecond, Sink: &lastValue{}, Feed: feed}
+			reader := store.Follower{Store: s, Prefix: "a/", MaxWait: time.Second, Pause: 200 * time.Millisecond,
+				Timeout: 500 * time.Millisecond, CheckAfter: 1400 * time.Millisecond, Sink: &lastValue{}, Feed: feed}
 			follower := reader
 			follower.Store, follower.Relay, follower.Feed, follower.Sink = cutStore{s}, fatedRelay{feed, others}, nil, sink
 			ctx, cancel := context.WithCancel(t.Context())
--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -54,7 +54,7 @@
 	// ever got through on such a link, and a configuration stayed unknown for five seconds.
 	checkPatience = 2400 * time.Millisecond
 	// checksMost bounds the checks under way: as many as start within checkPatience at
-	// the spacing of a Gate. The oldest is given up for a new one.
+	// the spacing of a Backoff. The oldest is given up for a new one.
 	checksMost = 6
 	// checkLead is how much later than the router that reads for it a router checks: that
 	// one's own check gets there first, and one call serves all.
@@ -108,7 +108,7 @@
 		f.Feed.stop()
 	} else if f.late(now) {
 		return // the checks ask
-	} else if f.failing && !f.Gate.Take(now, f.gateMost()) {
+	} else if f.failing && !f.Backoff.Allow(now, f.gateMost()) {
 		f.usual.next = now.Add(gatePoll)
 		return
 	}
@@ -126,13 +126,13 @@
 		return
 	}
 	first := f.checks.made == 0
-	if first && f.Checked != nil {
-		f.Checked(now.Sub(f.asOf), f.relaying, f.failing)
+	if first && f.StaleCheckStarted != nil {
+		f.StaleCheckStarted(now.Sub(f.asOf), f.relaying, f.failing)
 	}
 	// The first check doesn't wait for a gate that calls on other connections have shut:
 	// they may have fallen silent, and by its wait what is known would get too old.
-	free := first || f.Gate.AnsweredSince(f.checks.asked)
-	if !f.Gate.Take(now, f.gateMost()) && !free {
+	free := first || f.Backoff.AnsweredSince(f.checks.asked)
+	if !f.Backoff.Allow(now, f.gateMost()) && !free {
 		f.checks.next = now.Add(gatePoll)
 		return
 	}
@@ -142,9 +142,9 @@
 		f.checks.calls[0].stop()
 		f.checks.calls = f.checks.calls[1:]
 	}
-	a := answer{kind: checkStore, serial: f.checks.serial, probe: f.Gate.Probe(now), started: now, after: f.at}
-	ctx = WhenConnected(ctx, func() { f.Gate.ProbeConnected(a.probe, f.now()) })
-	ctx = WhenPartCame(ctx, func() { f.Gate.ProbeAnswered(a.probe, f.now()) })
+	a := answer{kind: checkStore, serial: f.checks.serial, probe: f.Backoff.StartProbe(now), started: now, after: f.at}
+	ctx = WithConnectedFunc(ctx, func() { f.Backoff.ProbeConnected(a.probe, f.now()) })
+	ctx = WithProgressFunc(ctx, func() { f.Backoff.ProbeAnswered(a.probe, f.now()) })
 	f.checks.calls = append(f.checks.calls, f.call(ctx, calls, a, f.checkAsk(whole), whole))
 }
 
@@ -173,13 +173,13 @@
 	after := f.at
 	if !whole {
 		return func(ctx context.Context) (*Snapshot, *Changes, error) {
-			return f.watch(ctx, f.Store.WatchAnew, after, watchLeast, checkPatience)
+			return f.watch(ctx, f.Store.WatchNewConn, after, watchLeast, checkPatience)
 		}
 	}
 	return func(ctx context.Context) (*Snapshot, *Changes, error) {
 		ctx, cancel := patiently(ctx, checkPatience)
 		defer cancel()
-		snapshot, err := f.Store.ReadAnew(ctx, f.Prefix)
+		snapshot, err := f.Store.ReadNewConn(ctx, f.Prefix)
 		return &snapshot, nil, err
 	}
 }
@@ -192,7 +192,7 @@
 func (f *Follower) call(ctx context.Context, calls *conc.WaitGroup, a answer, ask ask, whole bool) *transfer {
 	callCtx, stop := context.WithCancel(ctx)
 	t := &transfer{whole: whole, stop: stop}
-	callCtx = WhenPartCame(callCtx, func() {
+	callCtx = WithProgressFunc(callCtx, func() {
 		now := f.now()
 		t.part.Store(&now)
 	})
@@ -227,7 +227,7 @@
 		}
 	case !f.synced:
 		return func(ctx context.Context) (*Snapshot, *Changes, error) {
-			ctx, cancel := patiently(ctx, f.Patience)
+			ctx, cancel := patiently(ctx, f.Timeout)
 			defer cancel()
 			snapshot, err := f.Store.Read(ctx, f.Prefix)
 			return &snapshot, nil, err
@@ -235,17 +235,17 @@
 	}
 	wait := f.watchWait(now)
 	return func(ctx context.Context) (*Snapshot, *Changes, error) {
-		return f.watch(ctx, f.Store.Watch, after, wait, f.Patience)
+		return f.watch(ctx, f.Store.Watch, after, wait, f.Timeout)
 	}
 }
 
 // watchWait lets a watch come back when what is known is Wait + Pause old: an answer with
 // changes may have been sent as early as its call, so the one after it waits less.
 func (f *Follower) watchWait(now time.Time) time.Duration {
-	return min(f.Wait, max(watchLeast, f.asOf.Add(f.Wait+f.Pause).Sub(now)))
+	return min(f.MaxWait, max(watchLeast, f.asOf.Add(f.MaxWait+f.Pause).Sub(now)))
 }
 
-// watchCall is Store.Watch or Store.WatchAnew.
+// watchCall is Store.Watch or Store.WatchNewConn.
 type watchCall func(ctx context.Context, prefix string, after Revision, wait time.Duration) (Changes, error)
 
 // watch asks the store for changes. An answer without any is of the end of the wait.
--- a/internal/store/clock.go
+++ b/internal/store/clock.go
@@ -6,11 +6,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// BootNow reads a clock that, unlike time.Now's steady one, goes on while the VM is
+// BoottimeNow reads a clock that, unlike time.Now's steady one, goes on while the VM is
 // suspended, and that nobody sets. A router that was suspended for three seconds would
 // else take what it knows for three seconds younger, and tell it to others as new.
 // The times are good only for comparison with each other.
-func BootNow() time.Time {
+func BoottimeNow() time.Time {
 	now := unix.Timespec{}
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
 		panic(err) // this clock exists on every Linux
--- a/internal/store/counted.go
+++ b/internal/store/counted.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Counted counts the calls to a Store by what they are for: they are paid for, and in a
+// CountingStore counts the calls to a Store by what they are for: they are paid for, and in a
 // large fleet they are the first thing to look at.
-type Counted struct {
+type CountingStore struct {
 	Store Store
 	// Count takes one call: its kind, the first part of the key it is about, and how it
 	// ended.
 	Count func(kind, subject string, err error)
 }
 
-var _ Store = Counted{}
+var _ Store = CountingStore{}
 
 // subject is the first part of a key.
 func subject(key string) string {
@@ -24,35 +24,35 @@
 }
 
 // Read implements Store.
-func (c Counted) Read(ctx context.Context, prefix string) (Snapshot, error) {
+func (c CountingStore) Read(ctx context.Context, prefix string) (Snapshot, error) {
 	snapshot, err := c.Store.Read(ctx, prefix)
 	c.Count("read", subject(prefix), err)
 	return snapshot, err
 }
 
-// ReadAnew implements Store.
-func (c Counted) ReadAnew(ctx context.Context, prefix string) (Snapshot, error) {
-	snapshot, err := c.Store.ReadAnew(ctx, prefix)
+// ReadNewConn implements Store.
+func (c CountingStore) ReadNewConn(ctx context.Context, prefix string) (Snapshot, error) {
+	snapshot, err := c.Store.ReadNewConn(ctx, prefix)
 	c.Count("check", subject(prefix), err)
 	return snapshot, err
 }
 
 // Watch implements Store.
-func (c Counted) Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) (Changes, error) {
+func (c CountingStore) Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) (Changes, error) {
 	changes, err := c.Store.Watch(ctx, prefix, after, wait)
 	c.Count("watch", subject(prefix), err)
 	return changes, err
 }
 
-// WatchAnew implements Store.
-func (c Counted) WatchAnew(ctx context.Context, prefix string, after Revision, wait time.Duration) (Changes, error) {
-	changes, err := c.Store.WatchAnew(ctx, prefix, after, wait)
+// WatchNewConn implements Store.
+func (c CountingStore) WatchNewConn(ctx context.Context, prefix string, after Revision, wait time.Duration) (Changes, error) {
+	changes, err := c.Store.WatchNewConn(ctx, prefix, after, wait)
 	c.Count("check", subject(prefix), err)
 	return changes, err
 }
 
 // Commit implements Store.
-func (c Counted) Commit(ctx context.Context, txn Txn) (Result, error) {
+func (c CountingStore) Commit(ctx context.Context, txn Txn) (Result, error) {
 	result, err := c.Store.Commit(ctx, txn)
 	about := ""
 	if len(txn.Puts) > 0 {
@@ -62,23 +62,23 @@
 	return result, err
 }
 
-// Grant implements Store.
-func (c Counted) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
-	lease, err := c.Store.Grant(ctx, ttl)
+// GrantLease implements Store.
+func (c CountingStore) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
+	lease, err := c.Store.GrantLease(ctx, ttl)
 	c.Count("grant", "lease", err)
 	return lease, err
 }
 
-// Renew implements Store.
-func (c Counted) Renew(ctx context.Context, lease LeaseID) error {
-	err := c.Store.Renew(ctx, lease)
+// RenewLease implements Store.
+func (c CountingStore) RenewLease(ctx context.Context, lease LeaseID) error {
+	err := c.Store.RenewLease(ctx, lease)
 	c.Count("renew", "lease", err)
 	return err
 }
 
-// End implements Store.
-func (c Counted) End(ctx context.Context, lease LeaseID) error {
-	err := c.Store.End(ctx, lease)
+// RevokeLease implements Store.
+func (c CountingStore) RevokeLease(ctx context.Context, lease LeaseID) error {
+	err := c.Store.RevokeLease(ctx, lease)
 	c.Count("end", "lease", err)
 	return err
 }
--- a/internal/store/feed.go
+++ b/internal/store/feed.go
@@ -22,9 +22,9 @@
 // a router does. It serves only what came from the store itself, or two routers that
 // follow each other would take each other's old knowledge for new.
 type Feed struct {
-	// Same says whether a new item tells its readers nothing that the one before did
+	// Equivalent says whether a new item tells its readers nothing that the one before did
 	// not, as a heartbeat does. Nil: each item tells something new.
-	Same func(before, after Item) bool
+	Equivalent func(before, after Item) bool
 	// Now is the clock; nil means time.Now. It must go on while the VM is suspended.
 	Now func() time.Time
 
@@ -176,7 +176,7 @@
 		delete(f.items, e.Key)
 	} else {
 		f.items[e.Key] = e.Item
-		if known && f.Same != nil && f.Same(before, e.Item) {
+		if known && f.Equivalent != nil && f.Equivalent(before, e.Item) {
 			return
 		}
 	}
--- a/internal/store/feed_test.go
+++ b/internal/store/feed_test.go
@@ -53,7 +53,7 @@
 // Guards against bytes for heartbeats, which tell a follower nothing new.
 func TestFeedTellsChangesWithoutHeartbeats(t *testing.T) {
 	w := newFeed(t)
-	w.feed.Same = func(before, after Item) bool { return string(before.Value) == string(after.Value) }
+	w.feed.Equivalent = func(before, after Item) bool { return string(before.Value) == string(after.Value) }
 	w.read(5, item("a", 2), item("b", 3))
 	w.watched(0, 9, Event{Item: item("a", 7)}, Event{Item: item("c", 8)}, Event{Item: item("b", 9), Deleted: true})
 	w.Assert(w.since(5), qt.DeepEquals, []string{"c", "-b"})
@@ -213,27 +213,27 @@
 // Guards against paid calls without pause to a store that does not answer.
 func TestGateSpacesCalls(t *testing.T) {
 	for _, most := range []time.Duration{gateMost, gateMostRelayed} {
-		g, now := &Gate{}, time.Unix(1000, 0)
-		qt.Assert(t, g.Take(now, most), qt.IsTrue)
+		g, now := &Backoff{}, time.Unix(1000, 0)
+		qt.Assert(t, g.Allow(now, most), qt.IsTrue)
 		for _, wait := range []time.Duration{gateFirst, 2 * gateFirst, 4 * gateFirst, most, most} {
-			g.Failed(now)
-			qt.Assert(t, g.Take(now.Add(wait-1), most), qt.IsFalse)
+			g.RecordFailure(now)
+			qt.Assert(t, g.Allow(now.Add(wait-1), most), qt.IsFalse)
 			now = now.Add(wait)
-			qt.Assert(t, g.Take(now, most), qt.IsTrue)
+			qt.Assert(t, g.Allow(now, most), qt.IsTrue)
 		}
 		qt.Assert(t, g.AnsweredSince(now), qt.IsFalse)
-		g.Answered(now.Add(1))
+		g.RecordSuccess(now.Add(1))
 		qt.Assert(t, g.AnsweredSince(now), qt.IsTrue)
-		qt.Assert(t, g.Take(now, most), qt.IsTrue)
+		qt.Assert(t, g.Allow(now, most), qt.IsTrue)
 	}
 }
 
 // Guards against a second call right after a failed one that nobody asked the gate for.
 func TestGateTakesAFirstFailure(t *testing.T) {
-	g, now := &Gate{}, time.Unix(1000, 0)
-	g.Failed(now)
-	qt.Assert(t, g.Take(now.Add(gateFirst-1), gateMost), qt.IsFalse)
+	g, now := &Backoff{}, time.Unix(1000, 0)
+	g.RecordFailure(now)
+	qt.Assert(t, g.Allow(now.Add(gateFirst-1), gateMost), qt.IsFalse)
 	_, broken := g.Outage(now.Add(-1))
 	qt.Assert(t, broken, qt.IsTrue)
-	qt.Assert(t, g.Take(now.Add(gateFirst), gateMost), qt.IsTrue)
+	qt.Assert(t, g.Allow(now.Add(gateFirst), gateMost), qt.IsTrue)
 }
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -14,9 +14,9 @@
 	Reset(items []Item, silence Silence)
 	// Apply takes changes, in the order of their revisions.
 	Apply(events []Event, silence Silence)
-	// Contact tells whether the last call was answered. It is called at each change,
+	// SetReachable tells whether the last call was answered. It is called at each change,
 	// and after what an answer told.
-	Contact(reached bool, cause error)
+	SetReachable(reached bool, cause error)
 }
 
 // Relay reads other routers' Feeds of a prefix.
@@ -26,8 +26,8 @@
 	// Watch returns the changes after a revision, as soon as there is one and at the
 	// latest after some time of its own.
 	Watch(ctx context.Context, prefix string, after Revision) (Changes, error)
-	// Used says whether this router should follow others rather than the store.
-	Used() bool
+	// Active says whether this router should follow others rather than the store.
+	Active() bool
 }
 
 // Follower keeps a Sink up to date with all keys under a prefix: one read, then
@@ -37,7 +37,7 @@
 // It notes with each answer which moment's state of the store that told at least. When
 // that moment is CheckAfter ago, it reads from the store beside whatever call is under
 // way, and again a little later as long as no answer came. So while the store answers new
-// calls, the age of what is known is bounded by CheckAfter, the spacing of the Gate and a
+// calls, the age of what is known is bounded by CheckAfter, the spacing of the Backoff and a
 // round trip, whatever other calls, pauses and timeouts take: their sum was over the
 // bound that leaving servers set with the second call that failed.
 type Follower struct {
@@ -45,18 +45,18 @@
 	Prefix string
 	// Relay reads from other routers; nil: all comes from the store.
 	Relay Relay
-	// Gate spaces the calls that follow a failed one, over all followers of a router;
+	// Backoff spaces the calls that follow a failed one, over all followers of a router;
 	// nil: over this one.
-	Gate *Gate
+	Backoff *Backoff
 	// Feed gets what came from the store, for other routers; nil: nobody.
 	Feed *Feed
 	Sink Sink
 
-	// Wait is how long one watch may wait at the store at the most.
-	Wait time.Duration
-	// Patience is the time an answer may need beyond its wait. A call that is silent for
+	// MaxWait is how long one watch may wait at the store at the most.
+	MaxWait time.Duration
+	// Timeout is the time an answer may need beyond its wait. A call that is silent for
 	// longer is given up, since an open connection can go silent without a reset.
-	Patience time.Duration
+	Timeout time.Duration
 	// Pause is the least time between two calls: changes of one pause come in one answer.
 	Pause time.Duration
 	// Burst is how many watches may follow each other by Pause alone, before there is
@@ -70,12 +70,12 @@
 	// SourceChanged is told where answers come from, at the first one and each change;
 	// nil: nobody is told.
 	SourceChanged func(relayed bool)
-	// Checked is told when what is known got old: how old, whether others were asked,
+	// StaleCheckStarted is told when what is known got old: how old, whether others were asked,
 	// and whether calls to the store failed before. Nil: nobody is told.
-	Checked func(age time.Duration, relayed, failing bool)
-	// Learned is told, after each answer, of which moment the state is that is known at the
+	StaleCheckStarted func(age time.Duration, relayed, failing bool)
+	// Confirmed is told, after each answer, of which moment the state is that is known at the
 	// least; nil: nobody is told.
-	Learned func(asOf time.Time)
+	Confirmed func(asOf time.Time)
 	// Now is a clock that goes on while the VM is suspended; nil means time.Now.
 	Now func() time.Time
 
@@ -125,8 +125,8 @@
 
 // begin counts the start as knowledge of nothing, so that the first call has its time.
 func (f *Follower) begin() {
-	if f.Gate == nil {
-		f.Gate = &Gate{}
+	if f.Backoff == nil {
+		f.Backoff = &Backoff{}
 	}
 	f.answers = make(chan answer)
 	f.asOf = f.now()
@@ -144,7 +144,7 @@
 // lookAround sees whom to ask. It is done once a turn: the answer takes a look at the list
 // of all routers.
 func (f *Follower) lookAround() {
-	f.relaying = f.Relay != nil && f.Relay.Used()
+	f.relaying = f.Relay != nil && f.Relay.Active()
 }
 
 // gateMost is the longest time between two calls to a store that doesn't answer.
--- a/internal/store/follower_test.go
+++ b/internal/store/follower_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func (s *sink) Contact(bool, error) {}
+func (s *sink) SetReachable(bool, error) {}
 
 // silentStore is a store whose watches hear nothing: the first breaks, later ones wait.
 type silentStore struct {
@@ -58,7 +58,7 @@
 	return store.Snapshot{}, store.ErrUnavailable
 }
 
-func (s *refusingStore) ReadAnew(ctx context.Context, prefix string) (store.Snapshot, error) {
+func (s *refusingStore) ReadNewConn(ctx context.Context, prefix string) (store.Snapshot, error) {
 	return s.Read(ctx, prefix)
 }
 
@@ -77,7 +77,7 @@
 // follow runs a follower until the test ends.
 func follow(t *testing.T, s store.Store) *sink {
 	known := &sink{known: make(chan string, 8)}
-	f := &store.Follower{Store: s, Prefix: "a/", Wait: time.Hour, Patience: time.Hour, Sink: known}
+	f := &store.Follower{Store: s, Prefix: "a/", MaxWait: time.Hour, Timeout: time.Hour, Sink: known}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Gate spaces a router's calls to a store that doesn't answer, over all that it follows:
+// Backoff spaces a router's calls to a store that doesn't answer, over all that it follows:
 // each refused call is paid for, and asking for one thing tells as much as asking for three.
 // The time counts from the start of one call to the start of the next, so that a call that
 // hangs doesn't put off the next one: a router that came back from a cut has an answer
 // after one spacing and a round trip, whatever the calls before took.
-type Gate struct {
+type Backoff struct {
 	mu     sync.Mutex
 	shut   time.Time
 	wait   time.Duration // between the last call and the next one; 0: the store answers
@@ -33,9 +33,9 @@
 	gateMostRelayed = 800 * time.Millisecond
 )
 
-// Take says whether the store may be asked now, and counts the call. The store is then not
+// Allow says whether the store may be asked now, and counts the call. The store is then not
 // asked again for a time that doubles with each call, up to most.
-func (g *Gate) Take(now time.Time, most time.Duration) bool {
+func (g *Backoff) Allow(now time.Time, most time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if now.Before(g.shut) {
@@ -46,8 +46,8 @@
 	return true
 }
 
-// Probe notes that a call starts over a connection of its own.
-func (g *Gate) Probe(now time.Time) *Probe {
+// StartProbe notes that a call starts over a connection of its own.
+func (g *Backoff) StartProbe(now time.Time) *Probe {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.probes.start(now)
@@ -55,7 +55,7 @@
 
 // ProbeConnected notes that a probe's connection has come about. A read of several pages
 // has one for each; the first one counts.
-func (g *Gate) ProbeConnected(p *Probe, now time.Time) {
+func (g *Backoff) ProbeConnected(p *Probe, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if p.connected.IsZero() {
@@ -65,7 +65,7 @@
 
 // ProbeFailed notes that a probe got no answer: the store, or the way there, ended it, or
 // the router gave it up.
-func (g *Gate) ProbeFailed(p *Probe, now time.Time, refused bool) {
+func (g *Backoff) ProbeFailed(p *Probe, now time.Time, refused bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !p.isAnswered {
@@ -74,7 +74,7 @@
 }
 
 // ProbeAnswered notes that a probe was answered. The first part of an answer counts.
-func (g *Gate) ProbeAnswered(p *Probe, now time.Time) {
+func (g *Backoff) ProbeAnswered(p *Probe, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if p.isAnswered {
@@ -87,22 +87,22 @@
 // AnsweredSince says whether an answer came after a moment. Who asked last before it may ask
 // once without leave: else the one whose turn comes first takes each turn until its own answer
 // is there, and over a long link the others know what changed seconds late.
-func (g *Gate) AnsweredSince(asked time.Time) bool {
+func (g *Backoff) AnsweredSince(asked time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.answered.After(asked)
 }
 
-// Answered opens the gate.
-func (g *Gate) Answered(now time.Time) {
+// RecordSuccess opens the gate.
+func (g *Backoff) RecordSuccess(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.answered = now
 	g.shut, g.wait = time.Time{}, 0
 }
 
-// Failed notes that a call failed. The first one may not have asked for leave.
-func (g *Gate) Failed(started time.Time) {
+// RecordFailure notes that a call failed. The first one may not have asked for leave.
+func (g *Backoff) RecordFailure(started time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if started.After(g.failed) {
@@ -116,7 +116,7 @@
 
 // Outage says whether a call that started after a moment got no answer, and since when the
 // store may have answered again at the earliest.
-func (g *Gate) Outage(after time.Time) (returned time.Time, broken bool) {
+func (g *Backoff) Outage(after time.Time) (returned time.Time, broken bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.probes.away.After(after) {
@@ -125,9 +125,9 @@
 	return after, g.failed.After(after)
 }
 
-// StillOut is Outage for a router to which the store has not answered yet: a probe that waits
+// OngoingOutage is Outage for a router to which the store has not answered yet: a probe that waits
 // for longer than a sound path takes stands for one that was overtaken.
-func (g *Gate) StillOut(after, now time.Time) (returned time.Time, broken bool) {
+func (g *Backoff) OngoingOutage(after, now time.Time) (returned time.Time, broken bool) {
 	returned, broken = g.Outage(after)
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/store/learn.go
+++ b/internal/store/learn.go
@@ -30,10 +30,10 @@
 // judgeProbe notes how a check ended, also of one that another answer came before.
 func (f *Follower) judgeProbe(a answer) {
 	if a.err == nil {
-		f.Gate.ProbeAnswered(a.probe, a.ended)
+		f.Backoff.ProbeAnswered(a.probe, a.ended)
 		return
 	}
-	f.Gate.ProbeFailed(a.probe, a.ended, !a.gaveUp)
+	f.Backoff.ProbeFailed(a.probe, a.ended, !a.gaveUp)
 }
 
 // othersFailed turns to the store, or waits for its checks if they have begun.
@@ -67,13 +67,13 @@
 		return
 	}
 	f.failing = true
-	f.Gate.Failed(a.started)
+	f.Backoff.RecordFailure(a.started)
 	if a.kind == askStore && f.relaying {
 		f.usual.toStore, f.usual.next = false, now.Add(gateFirst)
 	}
 	if f.reached || !f.started {
 		f.reached, f.started = false, true
-		f.Sink.Contact(false, a.err)
+		f.Sink.SetReachable(false, a.err)
 	}
 }
 
@@ -87,15 +87,15 @@
 		f.Feed.hear(a.snapshot, a.changes, silence)
 	} else {
 		f.failing, f.storeOK = false, a.started
-		f.Gate.Answered(now)
+		f.Backoff.RecordSuccess(now)
 		f.Feed.learn(a.snapshot, a.changes, silence, asOf, f.freshFor())
 	}
 	f.apply(a, silence)
 	if asOf.After(f.asOf) {
 		f.asOf = asOf
 	}
-	if f.Learned != nil {
-		f.Learned(f.asOf)
+	if f.Confirmed != nil {
+		f.Confirmed(f.asOf)
 	}
 	if !f.late(now) {
 		f.checks.made = 0
@@ -110,7 +110,7 @@
 // until this router's own check has had its time.
 func (f *Follower) freshFor() time.Duration {
 	if f.CheckAfter == 0 {
-		return f.Wait + f.Patience + f.Pause
+		return f.MaxWait + f.Timeout + f.Pause
 	}
 	return f.CheckAfter + checkLead
 }
@@ -137,9 +137,9 @@
 		return Silence{}
 	}
 	silence := Silence{Length: now.Sub(last), Ago: now.Sub(a.started)}
-	returned, broken := f.Gate.Outage(last)
+	returned, broken := f.Backoff.Outage(last)
 	if a.kind == askOthers {
-		returned, broken = f.Gate.StillOut(last, now)
+		returned, broken = f.Backoff.OngoingOutage(last, now)
 	}
 	if broken {
 		silence.Broken, silence.Ago = true, now.Sub(returned)
@@ -195,7 +195,7 @@
 func (f *Follower) contact() {
 	if !f.reached {
 		f.reached, f.started = true, true
-		f.Sink.Contact(true, nil)
+		f.Sink.SetReachable(true, nil)
 	}
 }
 
@@ -221,7 +221,7 @@
 	if f.Burst == 0 {
 		return next
 	}
-	cycle := f.Wait + f.Pause
+	cycle := f.MaxWait + f.Pause
 	f.usual.credit = min(float64(f.Burst), f.usual.credit+float64(next.Sub(f.usual.started))/float64(cycle)) - 1
 	if f.usual.credit >= 0 {
 		return next
--- a/internal/store/memstore/memstore.go
+++ b/internal/store/memstore/memstore.go
@@ -15,18 +15,18 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Fate is what becomes of a write.
-type Fate int
+// Outcome is what becomes of a write.
+type Outcome int
 
 // Fates of writes.
 const (
 	// Answered: the write is done, and its caller told.
-	Answered Fate = iota
-	// Lost: the write is done, its answer is lost.
-	Lost
-	// Late: the answer is lost, and the write is done at the next Settle, if its
+	Answered Outcome = iota
+	// ResponseLost: the write is done, its answer is lost.
+	ResponseLost
+	// Delayed: the answer is lost, and the write is done at the next ApplyDelayed, if its
 	// conditions still hold then.
-	Late
+	Delayed
 	// Dropped: neither done nor answered.
 	Dropped
 )
@@ -45,7 +45,7 @@
 	lastLease store.LeaseID
 	changed   chan struct{} // closed and replaced at each change
 	down      bool
-	fate      func(store.Txn) Fate
+	fate      func(store.Txn) Outcome
 	late      []store.Txn
 	calls     int
 }
@@ -63,7 +63,7 @@
 		now = time.Now
 	}
 	return &Store{now: now, revision: 1, items: make(map[string]store.Item), leases: make(map[store.LeaseID]*lease),
-		changed: make(chan struct{}), fate: func(store.Txn) Fate { return Answered }}
+		changed: make(chan struct{}), fate: func(store.Txn) Outcome { return Answered }}
 }
 
 // SetDown begins or ends an outage; waiting watches are cut.
@@ -74,15 +74,15 @@
 	s.notify()
 }
 
-// SetFate chooses what becomes of each later transaction.
-func (s *Store) SetFate(fate func(store.Txn) Fate) {
+// SetOutcome chooses what becomes of each later transaction.
+func (s *Store) SetOutcome(fate func(store.Txn) Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fate = fate
 }
 
-// Settle does the late writes whose conditions still hold, in their order.
-func (s *Store) Settle() {
+// ApplyDelayed does the late writes whose conditions still hold, in their order.
+func (s *Store) ApplyDelayed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	late := s.late
@@ -116,8 +116,8 @@
 	return s.write(store.Put{Key: key, Value: value})
 }
 
-// Remove deletes a key.
-func (s *Store) Remove(key string) {
+// Delete deletes a key.
+func (s *Store) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(key)
@@ -155,13 +155,13 @@
 	return snapshot, nil
 }
 
-// WatchAnew implements store.Store.
-func (s *Store) WatchAnew(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
+// WatchNewConn implements store.Store.
+func (s *Store) WatchNewConn(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
 	return s.Watch(ctx, prefix, after, wait)
 }
 
-// ReadAnew implements store.Store.
-func (s *Store) ReadAnew(ctx context.Context, prefix string) (store.Snapshot, error) {
+// ReadNewConn implements store.Store.
+func (s *Store) ReadNewConn(ctx context.Context, prefix string) (store.Snapshot, error) {
 	return s.Read(ctx, prefix)
 }
 
@@ -210,12 +210,12 @@
 		return store.Result{}, err
 	}
 	switch s.fate(txn) {
-	case Lost:
+	case ResponseLost:
 		if _, err := s.apply(txn); err != nil {
 			return store.Result{}, store.ErrOutcomeUnknown
 		}
 		return store.Result{}, store.ErrOutcomeUnknown
-	case Late:
+	case Delayed:
 		s.late = append(s.late, txn)
 		return store.Result{}, store.ErrOutcomeUnknown
 	case Dropped:
@@ -227,7 +227,7 @@
 func (s *Store) apply(txn store.Txn) (store.Result, error) {
 	holds := true
 	result := store.Result{}
-	for _, e := range txn.Expect {
+	for _, e := range txn.Conditions {
 		item, found := s.items[e.Key]
 		if found {
 			result.Current = append(result.Current, item)
@@ -245,7 +245,7 @@
 	for _, p := range txn.Puts {
 		s.write(p)
 	}
-	for _, key := range txn.Removes {
+	for _, key := range txn.Deletes {
 		s.remove(key)
 	}
 	// All writes of one transaction have its revision.
@@ -281,8 +281,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Grant implements store.Store.
-func (s *Store) Grant(_ context.Context, ttl time.Duration) (store.LeaseID, error) {
+// GrantLease implements store.Store.
+func (s *Store) GrantLease(_ context.Context, ttl time.Duration) (store.LeaseID, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin(); err != nil {
@@ -293,8 +293,8 @@
 	return s.lastLease, nil
 }
 
-// Renew implements store.Store.
-func (s *Store) Renew(_ context.Context, id store.LeaseID) error {
+// RenewLease implements store.Store.
+func (s *Store) RenewLease(_ context.Context, id store.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin(); err != nil {
@@ -308,8 +308,8 @@
 	return nil
 }
 
-// End implements store.Store.
-func (s *Store) End(_ context.Context, id store.LeaseID) error {
+// RevokeLease implements store.Store.
+func (s *Store) RevokeLease(_ context.Context, id store.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin(); err != nil {
--- a/internal/store/parts.go
+++ b/internal/store/parts.go
@@ -9,17 +9,17 @@
 // partKey is the key of a context's function to call.
 type partKey struct{}
 
-// WhenPartCame returns a context whose calls to a Store report each part of an answer that comes.
-func WhenPartCame(ctx context.Context, report func()) context.Context {
+// WithProgressFunc returns a context whose calls to a Store report each part of an answer that comes.
+func WithProgressFunc(ctx context.Context, report func()) context.Context {
 	outer := ctx
 	return context.WithValue(ctx, partKey{}, func() {
 		report()
-		PartCame(outer)
+		ReportProgress(outer)
 	})
 }
 
-// PartCame is called by a Store's adapter when a part of an answer has come.
-func PartCame(ctx context.Context) {
+// ReportProgress is called by a Store's adapter when a part of an answer has come.
+func ReportProgress(ctx context.Context) {
 	if report, wanted := ctx.Value(partKey{}).(func()); wanted {
 		report()
 	}
@@ -37,7 +37,7 @@
 func patiently(ctx context.Context, patience time.Duration) (context.Context, context.CancelFunc) {
 	ctx, stop := context.WithTimeout(ctx, transferMost)
 	silent := time.AfterFunc(patience, stop)
-	ctx = WhenPartCame(ctx, func() { silent.Reset(patience) })
+	ctx = WithProgressFunc(ctx, func() { silent.Reset(patience) })
 	return ctx, func() {
 		silent.Stop()
 		stop()
--- a/internal/store/probes.go
+++ b/internal/store/probes.go
@@ -95,13 +95,13 @@
 // connectedKey is the key of a context's function to call.
 type connectedKey struct{}
 
-// WhenConnected returns a context whose calls to a Store report that they got a connection.
-func WhenConnected(ctx context.Context, report func()) context.Context {
+// WithConnectedFunc returns a context whose calls to a Store report that they got a connection.
+func WithConnectedFunc(ctx context.Context, report func()) context.Context {
 	return context.WithValue(ctx, connectedKey{}, report)
 }
 
-// Connected is called by a Store's adapter when a call has got its connection.
-func Connected(ctx context.Context) {
+// ReportConnected is called by a Store's adapter when a call has got its connection.
+func ReportConnected(ctx context.Context) {
 	if report, wanted := ctx.Value(connectedKey{}).(func()); wanted {
 		report()
 	}
--- a/internal/store/probes_test.go
+++ b/internal/store/probes_test.go
@@ -29,7 +29,7 @@
 type probeEvent struct {
 	at     time.Time
 	number int
-	do     func(g *Gate, p *Probe, now time.Time)
+	do     func(g *Backoff, p *Probe, now time.Time)
 }
 
 // play lets a router make probes from the start on and returns what it takes for the moment
@@ -41,19 +41,19 @@
 		answered := connected.Add(p.trip + works[i])
 		events = append(events, probeEvent{started, i, nil})
 		if connected.Sub(started) < checkPatience {
-			events = append(events, probeEvent{connected, i, (*Gate).ProbeConnected})
+			events = append(events, probeEvent{connected, i, (*Backoff).ProbeConnected})
 		}
 		if answered.Sub(started) < checkPatience {
-			events = append(events, probeEvent{answered, i, (*Gate).ProbeAnswered})
+			events = append(events, probeEvent{answered, i, (*Backoff).ProbeAnswered})
 			continue
 		}
-		events = append(events, probeEvent{started.Add(checkPatience), i, func(g *Gate, p *Probe, now time.Time) { g.ProbeFailed(p, now, false) }})
+		events = append(events, probeEvent{started.Add(checkPatience), i, func(g *Backoff, p *Probe, now time.Time) { g.ProbeFailed(p, now, false) }})
 	}
 	slices.SortStableFunc(events, func(a, b probeEvent) int { return a.at.Compare(b.at) })
-	g, under, returned := &Gate{}, make([]*Probe, len(starts)), []time.Time(nil)
+	g, under, returned := &Backoff{}, make([]*Probe, len(starts)), []time.Time(nil)
 	for _, e := range events {
 		if e.do == nil {
-			under[e.number] = g.Probe(e.at)
+			under[e.number] = g.StartProbe(e.at)
 			continue
 		}
 		e.do(g, under[e.number], e.at)
@@ -104,16 +104,16 @@
 
 // Guards against a store that is taken for away because a large answer of it took long.
 func TestAnswerOnItsWayIsNoSilence(t *testing.T) {
-	g, began := &Gate{}, time.Unix(1000, 0)
+	g, began := &Backoff{}, time.Unix(1000, 0)
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
-	large := g.Probe(at(0))
+	large := g.StartProbe(at(0))
 	g.ProbeConnected(large, at(5))
 	g.ProbeAnswered(large, at(10)) // its first part
-	small := g.Probe(at(1000))
+	small := g.StartProbe(at(1000))
 	g.ProbeConnected(small, at(1005))
 	g.ProbeAnswered(small, at(1010))
 	g.ProbeFailed(large, at(3000), false) // its connection fell silent then
-	g.ProbeAnswered(g.Probe(at(4000)), at(4010))
+	g.ProbeAnswered(g.StartProbe(at(4000)), at(4010))
 	_, broken := g.Outage(began.Add(-time.Second))
 	qt.Assert(t, broken, qt.IsFalse)
 }
--- a/internal/store/relay_test.go
+++ b/internal/store/relay_test.go
@@ -35,7 +35,7 @@
 // others is the same as what other routers tell.
 type others struct{ *answers }
 
-func (o others) Used() bool { return o.relayed }
+func (o others) Active() bool { return o.relayed }
 
 func (o others) Read(context.Context, string, Revision) (Snapshot, error) { return o.snapshot, nil }
 
@@ -44,15 +44,15 @@
 // quiet is a sink that nobody asks.
 type quiet struct{}
 
-func (quiet) Reset([]Item, Silence)  {}
-func (quiet) Apply([]Event, Silence) {}
-func (quiet) Contact(bool, error)    {}
+func (quiet) Reset([]Item, Silence)    {}
+func (quiet) Apply([]Event, Silence)   {}
+func (quiet) SetReachable(bool, error) {}
 
 // Guards against followers that never hear of a change which their reader learned before it read the store itself.
 func TestFeedTellsWhatWasHeardFromOthers(t *testing.T) {
 	c := qt.New(t)
 	source := &answers{snapshot: Snapshot{Items: []Item{item("a", 2)}, At: 5}}
-	f := &Follower{Store: source, Relay: others{source}, Feed: &Feed{}, Sink: quiet{}, Wait: time.Hour, Patience: time.Hour}
+	f := &Follower{Store: source, Relay: others{source}, Feed: &Feed{}, Sink: quiet{}, MaxWait: time.Hour, Timeout: time.Hour}
 	f.begin()
 	step := func(relayed bool, changes Changes) {
 		source.relayed, source.changes = relayed, []Changes{changes}
@@ -82,11 +82,11 @@
 func TestOvertakenCheckTakesNothingBack(t *testing.T) {
 	c := qt.New(t)
 	sink := &keys{}
-	f := &Follower{Feed: &Feed{}, Sink: sink, Wait: time.Hour, Patience: time.Hour}
+	f := &Follower{Feed: &Feed{}, Sink: sink, MaxWait: time.Hour, Timeout: time.Hour}
 	f.begin()
 	now := f.now()
 	f.take(answer{kind: askStore, started: now, snapshot: &Snapshot{Items: []Item{item("a", 2)}, At: 5}})
-	check := answer{kind: checkStore, probe: f.Gate.Probe(now), started: now, ended: now, after: f.at, snapshot: &Snapshot{Items: []Item{item("a", 2)}, At: 5}}
+	check := answer{kind: checkStore, probe: f.Backoff.StartProbe(now), started: now, ended: now, after: f.at, snapshot: &Snapshot{Items: []Item{item("a", 2)}, At: 5}}
 	f.take(answer{kind: askStore, started: now, after: f.at, changes: &Changes{At: 8, Events: []Event{{Item: item("b", 7)}}}})
 	check.serial = f.checks.serial
 	f.take(check)
@@ -110,11 +110,11 @@
 func TestSilenceOfAFollowerIsThatOfItsReader(t *testing.T) {
 	c := qt.New(t)
 	sink, now := &silences{}, time.Unix(1000, 0)
-	f := &Follower{Sink: sink, Wait: time.Hour, Patience: time.Hour, Now: func() time.Time { return now }}
+	f := &Follower{Sink: sink, MaxWait: time.Hour, Timeout: time.Hour, Now: func() time.Time { return now }}
 	f.begin()
 	f.take(answer{kind: askOthers, started: now, snapshot: &Snapshot{At: 5, Continuous: true}})
 	now = now.Add(10 * time.Second)
-	f.Gate.Failed(now)
+	f.Backoff.RecordFailure(now)
 	f.take(answer{kind: askOthers, started: now, after: 5, changes: &Changes{At: 6}})
 	c.Assert(sink.last.Length, qt.Equals, time.Duration(0))
 	told := Silence{Length: 8 * time.Second, Ago: time.Second}
@@ -126,12 +126,12 @@
 func TestRouterThatStartedInAnOutageTellsNoSilence(t *testing.T) {
 	c := qt.New(t)
 	sink, now := &silences{}, time.Unix(1000, 0)
-	f := &Follower{Sink: sink, Wait: time.Hour, Patience: time.Hour, Now: func() time.Time { return now }}
+	f := &Follower{Sink: sink, MaxWait: time.Hour, Timeout: time.Hour, Now: func() time.Time { return now }}
 	f.begin()
 	f.take(answer{kind: askOthers, started: now, changes: &Changes{At: 5}})
 	for range 10 {
 		now = now.Add(time.Second)
-		f.Gate.Probe(now)
+		f.Backoff.StartProbe(now)
 	}
 	now = now.Add(600 * time.Millisecond)
 	f.take(answer{kind: askOthers, started: now, after: 5, snapshot: &Snapshot{At: 9}})
@@ -158,4 +158,4 @@
 	}
 }
 
-func (k *keys) Contact(bool, error) {}
+func (k *keys) SetReachable(bool, error) {}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -81,8 +81,8 @@
 	Ago time.Duration
 }
 
-// Expect is a condition: the key's last change is at Revision (zero: no such key).
-type Expect struct {
+// Condition is a condition: the key's last change is at Revision (zero: no such key).
+type Condition struct {
 	Key      string
 	Revision Revision
 }
@@ -96,9 +96,9 @@
 
 // Txn is all or nothing.
 type Txn struct {
-	Expect  []Expect
-	Puts    []Put
-	Removes []string
+	Conditions []Condition
+	Puts       []Put
+	Deletes    []string
 }
 
 // Result of a transaction. Current holds, after ErrConflict, the present state
@@ -112,19 +112,19 @@
 type Store interface {
 	// Read returns all items under the prefix, at the store's present state.
 	Read(ctx context.Context, prefix string) (Snapshot, error)
-	// ReadAnew is Read over a new connection: open ones may have fallen silent.
-	ReadAnew(ctx context.Context, prefix string) (Snapshot, error)
+	// ReadNewConn is Read over a new connection: open ones may have fallen silent.
+	ReadNewConn(ctx context.Context, prefix string) (Snapshot, error)
 	// Watch returns the changes under the prefix after a revision, as soon as
 	// there is one and at the latest after wait.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) (Changes, error)
-	// WatchAnew is Watch over a new connection.
-	WatchAnew(ctx context.Context, prefix string, after Revision, wait time.Duration) (Changes, error)
+	// WatchNewConn is Watch over a new connection.
+	WatchNewConn(ctx context.Context, prefix string, after Revision, wait time.Duration) (Changes, error)
 	// Commit runs a transaction.
 	Commit(ctx context.Context, txn Txn) (Result, error)
-	// Grant makes a lease; its keys go when it is not renewed for ttl.
-	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// Renew extends a lease by its ttl.
-	Renew(ctx context.Context, lease LeaseID) error
-	// End ends a lease and removes its keys.
-	End(ctx context.Context, lease LeaseID) error
+	// GrantLease makes a lease; its keys go when it is not renewed for ttl.
+	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
+	// RenewLease extends a lease by its ttl.
+	RenewLease(ctx context.Context, lease LeaseID) error
+	// RevokeLease ends a lease and removes its keys.
+	RevokeLease(ctx context.Context, lease LeaseID) error
 }
--- a/internal/store/transfer_test.go
+++ b/internal/store/transfer_test.go
@@ -83,7 +83,7 @@
 			return false
 		}
 		left -= float64(l.perSecond) * linkStep.Seconds() / float64(l.count(0))
-		store.PartCame(ctx)
+		store.ReportProgress(ctx)
 	}
 	return true
 }
@@ -100,7 +100,7 @@
 	return snapshot, err
 }
 
-func (l *smallLink) ReadAnew(ctx context.Context, prefix string) (store.Snapshot, error) {
+func (l *smallLink) ReadNewConn(ctx context.Context, prefix string) (store.Snapshot, error) {
 	return l.Read(ctx, prefix)
 }
 
@@ -116,7 +116,7 @@
 	return changes, err
 }
 
-func (l *smallLink) WatchAnew(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
+func (l *smallLink) WatchNewConn(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
 	return l.Watch(ctx, prefix, after, wait)
 }
 
@@ -126,8 +126,8 @@
 	link := &smallLink{Store: memstore.New(nil), perSecond: 400_000}
 	link.Put("a/x", []byte("small"))
 	sink := &lastValue{}
-	f := store.Follower{Store: link, Prefix: "a/", Wait: 1150 * time.Millisecond, Pause: 50 * time.Millisecond,
-		Patience: 1200 * time.Millisecond, CheckAfter: 1400 * time.Millisecond, Sink: sink}
+	f := store.Follower{Store: link, Prefix: "a/", MaxWait: 1150 * time.Millisecond, Pause: 50 * time.Millisecond,
+		Timeout: 1200 * time.Millisecond, CheckAfter: 1400 * time.Millisecond, Sink: sink}
 	ctx, cancel := context.WithCancel(t.Context())
 	var tasks conc.WaitGroup
 	tasks.Go(func() { f.Run(ctx) })
@@ -180,8 +180,8 @@
 		link := &smallLink{Store: memstore.New(nil), perSecond: 40_000}
 		link.Put("a/large", []byte(strings.Repeat("r", 300_000))) // 7.5 s of the link
 		sink := &lastValue{}
-		f := store.Follower{Store: link, Prefix: "a/", Wait: time.Second, Pause: 200 * time.Millisecond,
-			Patience: 1200 * time.Millisecond, CheckAfter: 1400 * time.Millisecond, Sink: sink}
+		f := store.Follower{Store: link, Prefix: "a/", MaxWait: time.Second, Pause: 200 * time.Millisecond,
+			Timeout: 1200 * time.Millisecond, CheckAfter: 1400 * time.Millisecond, Sink: sink}
 		ctx, cancel := context.WithCancel(t.Context())
 		var tasks conc.WaitGroup
 		tasks.Go(func() { f.Run(ctx) })
