--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -222,7 +222,7 @@
 }
 
 // runFollowerTest runs test in a synctest bubble while the followers of a router run.
-func runFollowerTest(t *testing.T, relay store.Relay, run func(f *followerTest)) {
+func runFollowerTest(t *testing.T, relay store.Relay, test func(f *followerTest)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &followerTest{C: qt.New(t), store: &faultyStore{Store: memstore.New(nil)}, logs: &logBuffer{}}
 		f.store.Put("config/x", []byte("1"))
@@ -236,11 +236,11 @@
 		}, event.New(f.logs, "p1", slog.LevelInfo, nil), "p1")
 		ctx, cancel := context.WithCancel(t.Context())
 		var tasks conc.WaitGroup
-		for _, f := range f.node.followers(relay) {
-			tasks.Go(func() { f.Run(ctx) })
+		for _, follower := range f.node.followers(relay) {
+			tasks.Go(func() { follower.Run(ctx) })
 		}
 		time.Sleep(faultDelay)
-		run(f)
+		test(f)
 		cancel()
 		tasks.Wait()
 	})
