--- a/internal/escrow/ceiling_test.go
+++ b/internal/escrow/ceiling_test.go
@@ -11,8 +11,8 @@
 	"chicorytiller.example/chicorytiller/internal/store/memstore"
 )
 
-// Guards against a late ledger of an outage that looks like one of a router in contact.
-func TestLedgerOfAnOutageCarriesTheLastContact(t *testing.T) {
+// Guards against a ledger written during an outage that looks like one written in contact.
+func TestLedgerInOutageKeepsLastContact(t *testing.T) {
 	c := qt.New(t)
 	b := newTestbed(1_000_000)
 	m := b.newManager("p1", noPeers{})
@@ -26,8 +26,8 @@
 	c.Assert(m.contactAge(), qt.Equals, 8*time.Second)
 }
 
-// Guards against a late, older ledger in the place of a newer one.
-func TestLateLedgerDoesNotReplaceANewerOne(t *testing.T) {
+// Guards against an older ledger that is applied late and replaces a newer one.
+func TestLateLedgerDoesNotReplaceNewerOne(t *testing.T) {
 	c := qt.New(t)
 	b, m, _ := startTestbed()
 	b.store.SetOutcome(func(store.Txn) memstore.Outcome { return memstore.Delayed })
@@ -41,8 +41,8 @@
 	c.Assert(storedLedger(c, b), qt.DeepEquals, newest)
 }
 
-// Guards against spending what an unanswered write gives back.
-func TestUnansweredWriteBindsFromItsSending(t *testing.T) {
+// Guards against spending tokens that an unanswered write returns.
+func TestReducedGrantAppliesWhenSent(t *testing.T) {
 	c := qt.New(t)
 	b, m, g := startTestbed()
 	rate, ceiling := g.allowance.OutageRate, g.allowance.Ceiling
@@ -65,8 +65,8 @@
 	return ledger
 }
 
-// Guards against deaths that lose a ceiling of a busier time.
-func TestCeilingFollowsTheUseDown(t *testing.T) {
+// Guards against crashes that lose the ceiling of a busier time.
+func TestCeilingDropsWithUse(t *testing.T) {
 	c := qt.New(t)
 	b, m, g := startTestbed()
 	g.rate, g.rateWeight, g.rateUpdatedAt = 100_000, 1, b.steady // a busy time
@@ -80,8 +80,8 @@
 	c.Assert(g.allowance.Ceiling, qt.Equals, calm)
 }
 
-// Guards against spending above a lower ceiling whose write is not answered.
-func TestLowerCeilingBindsFromItsSending(t *testing.T) {
+// Guards against spending above a lower ceiling whose write was not answered.
+func TestLowerCeilingAppliesWhenSent(t *testing.T) {
 	c := qt.New(t)
 	b, m, g := startTestbed()
 	g.rate, g.rateWeight, g.rateUpdatedAt = 100_000, 1, b.steady
@@ -93,8 +93,8 @@
 	c.Assert(g.allowance.Ceiling, qt.Equals, int64(initialCeilingShare*1_000_000))
 }
 
-// Guards against outages in which less and less may be spent because requests wait.
-func TestOutageLowersNeitherPaceNorCeiling(t *testing.T) {
+// Guards against allowances that shrink during an outage because requests wait.
+func TestOutageLowersNoAllowance(t *testing.T) {
 	c := qt.New(t)
 	b, m, g := startTestbed()
 	g.rate, g.rateWeight, g.rateUpdatedAt = 50_000, 1, b.steady
@@ -108,8 +108,8 @@
 	c.Assert(g.allowance.Ceiling, qt.Equals, ceiling)
 }
 
-// Guards against a negative grant, with which nobody can read the record any more.
-func TestBorrowedTokensMakeNoNegativeGrant(t *testing.T) {
+// Guards against a negative grant, which makes the record unreadable.
+func TestBorrowedTokensGiveNoNegativeGrant(t *testing.T) {
 	c := qt.New(t)
 	b, m, _ := startTestbed()
 	b.home = "elsewhere"
@@ -121,7 +121,7 @@
 }
 
 // Guards against refusals while a store takes half a second for a write.
-func TestSlowStoreIsAllowedFor(t *testing.T) {
+func TestSlowStoreRaisesCeilingAndTimeout(t *testing.T) {
 	c := qt.New(t)
 	b, m, g := startTestbed()
 	g.rate, g.rateWeight, g.rateUpdatedAt = 100_000, 1, b.steady
@@ -138,8 +138,8 @@
 	c.Assert(storedLedger(c, b).Allowances["boatyard"].Ceiling < int64(100_000*(minCeilingHeadroom.Seconds()+0.1)), qt.IsTrue)
 }
 
-// Guards against paid writes by routers that hold nothing any more.
-func TestRouterThatUsedItsGrantWritesNoLedger(t *testing.T) {
+// Guards against paid writes by routers that hold no tokens any more.
+func TestNoLedgerAfterGrantIsUsed(t *testing.T) {
 	c := qt.New(t)
 	b, m, g := startTestbed()
 	g.spent = g.allowance.Ceiling
@@ -151,14 +151,14 @@
 	c.Assert(m.idle, qt.IsTrue)
 	g.spent -= int64(minFreeableShare * 1_000_000)
 	_, due = m.plan(true)
-	c.Assert(due, qt.IsFalse, qt.Commentf("so much comes and goes with each request"))
+	c.Assert(due, qt.IsFalse, qt.Commentf("this much is held between requests"))
 	g.spent--
 	_, due = m.plan(true)
 	c.Assert(due, qt.IsTrue, qt.Commentf("a successor must be able to free it"))
 }
 
-// Guards against paid calls without pause to a store that refuses.
-func TestAbsentStoreIsAskedLessAndLess(t *testing.T) {
+// Guards against paid calls in quick succession to a store that refuses them.
+func TestOutagePauses(t *testing.T) {
 	c := qt.New(t)
 	_, m, _ := startTestbed()
 	pauses := func(idle bool) []time.Duration {
@@ -174,8 +174,8 @@
 	c.Assert(pauses(true), qt.DeepEquals, []time.Duration{syncPause, minOutagePause, idleOutagePause, idleOutagePause, idleOutagePause})
 }
 
-// Guards against higher ceilings after an outage because a write ran out in it.
-func TestCallThatRanOutIsNoSlowWrite(t *testing.T) {
+// Guards against higher ceilings after an outage because a write timed out in it.
+func TestTimeoutDoesNotCountAsSlowWrite(t *testing.T) {
 	c := qt.New(t)
 	b, m, g := startTestbed()
 	g.rate, g.rateWeight, g.rateUpdatedAt = 100_000, 1, b.steady
@@ -187,14 +187,14 @@
 	})
 	m.syncStore(context.Background(), true)
 	b.store.SetOutcome(func(store.Txn) memstore.Outcome { return memstore.Answered })
-	g.rateUpdatedAt = b.steady // no time for the rate to fall
+	g.rateUpdatedAt = b.steady // keeps the rate from falling
 	m.syncStore(context.Background(), true)
 	c.Assert(m.isStoreDown(), qt.IsFalse)
 	c.Assert(g.allowance.Ceiling <= usual, qt.IsTrue, qt.Commentf("%d, usually %d", g.allowance.Ceiling, usual))
 }
 
-// Guards against homes that die one after the other and take the end of a budget.
-func TestFirstCeilingIsAPartOfWhatIsLeft(t *testing.T) {
+// Guards against homes that crash one after the other and lose the rest of a budget.
+func TestInitialCeilingIsShareOfRemainingBudget(t *testing.T) {
 	c := qt.New(t)
 	b := newTestbed(1_000_000)
 	b.store.Put("budget/account/boatyard", newRecord().WithEntry("other-vm", "p0", GrantEntry{Seq: 1, Granted: 900_000}, nil).Encode())
--- a/internal/escrow/keeper_test.go
+++ b/internal/escrow/keeper_test.go
@@ -11,12 +11,13 @@
 	"chicorytiller.example/chicorytiller/internal/store/memstore"
 )
 
-// testbed is one keeper on a store, with a clock that only the test moves.
+// testbed runs one GrantManager on an in-memory store, with a clock that only the test
+// advances.
 type testbed struct {
 	store   *memstore.Store
 	steady  time.Duration
 	prepaid map[string]int64
-	home    string // of the account; empty: this router
+	home    string // address of the account's home; empty: this router
 }
 
 func newTestbed(paid int64) *testbed {
@@ -34,7 +35,7 @@
 	})
 }
 
-// startTestbed is a bench whose keeper holds the account's first grant.
+// startTestbed returns a testbed whose GrantManager has drawn the account's first grant.
 func startTestbed() (*testbed, *GrantManager, *grant) {
 	b := newTestbed(1_000_000)
 	m := b.newManager("p1", noPeers{})
@@ -51,8 +52,8 @@
 	return record
 }
 
-// Guards against a first caller that waits for a draw.
-func TestFirstGrantComesBeforeTheFirstRequest(t *testing.T) {
+// Guards against a first request that waits for a draw.
+func TestFirstGrantPrecedesFirstRequest(t *testing.T) {
 	c := qt.New(t)
 	_, m, _ := startTestbed()
 	reservation, err := m.Reserve(context.Background(), "boatyard", 9_000)
@@ -62,8 +63,8 @@
 	c.Assert(m.grant("boatyard").spent, qt.Equals, int64(5_000), qt.Commentf("only the first settlement counts"))
 }
 
-// Guards against losing with a process what it could not have used.
-func TestSuccessorFreesWhatWasOutOfReach(t *testing.T) {
+// Guards against losing tokens that a dead process could not have used.
+func TestSuccessorFreesUnspendableTokens(t *testing.T) {
 	c := qt.New(t)
 	b := newTestbed(1_000_000)
 	b.newManager("p1", noPeers{}).syncStore(context.Background(), true)
@@ -74,8 +75,8 @@
 	c.Assert(b.accountRecord(c).Closed <= int64(initialCeilingShare*1_000_000), qt.IsTrue, qt.Commentf("closed %d", b.accountRecord(c).Closed))
 }
 
-// Guards against grants that nobody frees because the account's home has moved.
-func TestSuccessorFreesAlsoWhereItIsNotHome(t *testing.T) {
+// Guards against grants that are never freed because the account's home has moved.
+func TestSuccessorFreesGrantWhenNotHome(t *testing.T) {
 	c := qt.New(t)
 	b := newTestbed(1_000_000)
 	b.newManager("p1", noPeers{}).syncStore(context.Background(), true)
@@ -86,8 +87,8 @@
 	c.Assert(b.accountRecord(c).TotalGranted() < granted/10, qt.IsTrue, qt.Commentf("%d of %d", b.accountRecord(c).TotalGranted(), granted))
 }
 
-// Guards against freeing what a process without contact may have spent.
-func TestSuccessorOfAnIsolatedProcessFreesNothing(t *testing.T) {
+// Guards against freeing tokens that a process out of contact may have spent.
+func TestSuccessorOfIsolatedProcessFreesNothing(t *testing.T) {
 	c := qt.New(t)
 	b := newTestbed(1_000_000)
 	b.newManager("p1", noPeers{}).syncStore(context.Background(), true)
@@ -98,8 +99,8 @@
 	c.Assert(b.accountRecord(c).Closed, qt.Equals, granted)
 }
 
-// Guards against losing a whole grant by a death right after an outage.
-func TestDeathRightAfterAnOutageDoesNotLoseTheWholeGrant(t *testing.T) {
+// Guards against losing a whole grant when the router crashes right after an outage.
+func TestCrashAfterOutageKeepsMostOfGrant(t *testing.T) {
 	c := qt.New(t)
 	b, m, _ := startTestbed()
 	granted := b.accountRecord(c).TotalGranted()
@@ -114,12 +115,13 @@
 	c.Assert(closed < granted/2, qt.IsTrue, qt.Commentf("%d of %d", closed, granted))
 }
 
-// Guards against a home that holds nothing for ever since all was granted at its start.
-func TestHomeReadsAgainWhileItIsShort(t *testing.T) {
+// Guards against a home that never draws because the whole budget was granted when it
+// started.
+func TestHomeRereadsRecordsWhileShort(t *testing.T) {
 	c := qt.New(t)
 	b := newTestbed(1_000_000)
-	all := newRecord().WithEntry("other-vm", "p0", GrantEntry{Seq: 1, Granted: 1_000_000}, nil)
-	b.store.Put("budget/account/boatyard", all.Encode())
+	fullyGranted := newRecord().WithEntry("other-vm", "p0", GrantEntry{Seq: 1, Granted: 1_000_000}, nil)
+	b.store.Put("budget/account/boatyard", fullyGranted.Encode())
 	m := b.newManager("p1", noPeers{})
 	b.steady = time.Hour
 	m.syncStore(context.Background(), true)
@@ -132,7 +134,7 @@
 }
 
 // Guards against reads of all records by routers that need no tokens.
-func TestRouterThatNeedsNoTokensDoesNotReadAgain(t *testing.T) {
+func TestNoRereadWithoutNeed(t *testing.T) {
 	c := qt.New(t)
 	b := newTestbed(1_000_000)
 	b.home = "elsewhere"
@@ -147,8 +149,7 @@
 	c.Assert(m.isShort(), qt.IsTrue)
 }
 
-// A planned stop returns all that was not spent.
-func TestStopReturnsTheRest(t *testing.T) {
+func TestReturnGrantsReturnsUnspentTokens(t *testing.T) {
 	c := qt.New(t)
 	b, m, _ := startTestbed()
 	reservation, err := m.Reserve(context.Background(), "boatyard", 9_000)
@@ -171,8 +172,8 @@
 	})
 }
 
-// Guards against spending a grant beyond a budget that was lowered.
-func TestLoweredBudgetIsNotSpent(t *testing.T) {
+// Guards against spending more than a budget that was lowered.
+func TestLoweredBudgetIsNotOverspent(t *testing.T) {
 	c := qt.New(t)
 	b, m, g := startTestbed()
 	first, err := m.Reserve(context.Background(), "boatyard", 5_000)
--- a/internal/escrow/ledger_test.go
+++ b/internal/escrow/ledger_test.go
@@ -13,8 +13,8 @@
 	return ClockReading{Boot: boot, Steady: steady, Wall: noon.Add(wall)}
 }
 
-// Guards against freeing too much because a clock is trusted that tells nothing.
-func TestAgeOfAStamp(t *testing.T) {
+// Guards against freeing too much because a clock is trusted that was reset or moved.
+func TestMaxAgeAt(t *testing.T) {
 	last := readingAt("boot-1", time.Hour, 0)
 	for _, test := range []struct {
 		name       string
@@ -41,8 +41,8 @@
 	}
 }
 
-// Guards against freeing what a dead process may have spent.
-func TestMostSpent(t *testing.T) {
+// Guards against freeing tokens that a dead process may have spent.
+func TestBoundSpending(t *testing.T) {
 	ledger := Ledger{Incarnation: "old", Address: "vm", Contact: readingAt("boot", 0, 0),
 		Allowances: map[string]Allowance{"boatyard": {Ceiling: 300, OutageRate: 100}}}
 	at := func(age time.Duration) ClockReading { return readingAt("boot", age, age) }
@@ -68,8 +68,8 @@
 	qt.Assert(t, ledger.BoundSpending("boatyard", "old", "vm", 200, at(0), false).Max, qt.Equals, int64(200), qt.Commentf("a grant below its ceiling"))
 }
 
-// Guards against losing the rest of a budget by deaths late in an outage.
-func TestPaceLosesLittleLateInAnOutage(t *testing.T) {
+// Guards against losing the rest of a budget when routers crash late in an outage.
+func TestOutageRateLosesLittleLateInOutage(t *testing.T) {
 	const prepaid, rate = 3_500_000, 100_000
 	g := newGrant("boatyard")
 	g.rate = rate
@@ -80,18 +80,18 @@
 	qt.Assert(t, float64(allowed-used) < 0.1*prepaid, qt.IsTrue, qt.Commentf("%d of %d lost", allowed-used, prepaid))
 }
 
-// granted is an account of which this router was granted some tokens, and no other any.
-func granted(tokens int64) *grant {
+// newTestGrant returns a grant of some tokens on an account without other holders.
+func newTestGrant(tokens int64) *grant {
 	g := newGrant("boatyard")
-	mine := GrantEntry{Seq: 1, Granted: tokens}
-	g.applyRecord(newRecord().WithEntry("vm", "p1", mine, nil), 1, mine)
+	own := GrantEntry{Seq: 1, Granted: tokens}
+	g.applyRecord(newRecord().WithEntry("vm", "p1", own, nil), 1, own)
 	return g
 }
 
-// Guards against refusals in a cut early in a budget, in which nobody dies.
-func TestCutEarlyInABudgetIsBridged(t *testing.T) {
+// Guards against refusals in an outage early in a budget in which no router crashes.
+func TestOutageEarlyInBudgetIsBridged(t *testing.T) {
 	const prepaid, rate = 3_500_000, 100_000
-	g := granted(2_000_000)
+	g := newTestGrant(2_000_000)
 	g.rate, g.rateWeight, g.spent = rate, 1, 500_000
 	ceiling, _ := g.nextCeiling(g.granted, prepaid, home, 0)
 	allowed := Allowance{Ceiling: ceiling, OutageRate: g.nextOutageRate(prepaid), OutageReserve: int64(outageReserveShare * float64(g.remaining(prepaid)))}
@@ -102,25 +102,25 @@
 	qt.Assert(t, allowed.limitAt(outageGrace) >= g.spent+int64(rate*minCeilingHeadroom.Seconds()), qt.IsTrue)
 }
 
-// Guards against a reserve that leaves nothing to those who come back from an outage.
-func TestReserveLosesHalfOfWhatIsLeftAtMost(t *testing.T) {
+// Guards against an outage reserve that leaves no tokens for the time after the outage.
+func TestOutageReserveLosesAtMostHalf(t *testing.T) {
 	const prepaid, rate = 3_500_000, 100_000
 	for spent := int64(0); spent < prepaid; spent += 100_000 {
-		g := granted(prepaid)
+		g := newTestGrant(prepaid)
 		g.rate, g.spent = rate, spent
 		remaining := g.remaining(prepaid)
 		ceiling, _ := g.nextCeiling(g.granted, prepaid, home, 0)
 		outageRate := g.nextOutageRate(prepaid)
 		lost := Allowance{ceiling, outageRate, int64(outageReserveShare * float64(remaining))}.limitAt(8*time.Second) - ceiling
-		without := Allowance{ceiling, outageRate, 0}.limitAt(8*time.Second) - ceiling
-		qt.Assert(t, lost <= max(without, remaining/2), qt.IsTrue, qt.Commentf("%d of %d", lost, remaining))
+		lostWithoutReserve := Allowance{ceiling, outageRate, 0}.limitAt(8*time.Second) - ceiling
+		qt.Assert(t, lost <= max(lostWithoutReserve, remaining/2), qt.IsTrue, qt.Commentf("%d of %d", lost, remaining))
 	}
 }
 
-// Guards against deaths near a budget's end that lose what all who still come need.
-func TestCeilingComesCloserAsTheBudgetEnds(t *testing.T) {
+// Guards against crashes near the end of a budget that lose most of the rest.
+func TestCeilingHeadroomShrinksWithBudget(t *testing.T) {
 	const prepaid, rate = 3_500_000, 100_000
-	g := granted(prepaid)
+	g := newTestGrant(prepaid)
 	g.rate = rate
 	qt.Assert(t, g.ceilingHeadroom(prepaid) > 2400*time.Millisecond, qt.IsTrue)
 	g.spent = 2_000_000
@@ -131,22 +131,22 @@
 	qt.Assert(t, g.ceilingHeadroom(prepaid), qt.Equals, maxCeilingHeadroom)
 }
 
-// Guards against spending tokens whose return is not answered.
-func TestUnansweredReturnIsNotSpent(t *testing.T) {
+// Guards against spending tokens after an unanswered write that returns them.
+func TestUnansweredReturnIsNotSpendable(t *testing.T) {
 	g := newGrant("boatyard")
 	g.applyRecord(newRecord(), 5, GrantEntry{Granted: 1000})
 	qt.Assert(t, g.granted, qt.Equals, int64(1000))
-	g.granted, g.pendingRevision = 400, 5 // sent: granted 400, expected at revision 5
+	g.granted, g.pendingRevision = 400, 5 // a write that reduces the grant to 400 was sent and expects revision 5
 
 	g.applyRecord(newRecord(), 5, GrantEntry{Granted: 1000})
-	qt.Assert(t, g.granted, qt.Equals, int64(400), qt.Commentf("the write may land yet"))
+	qt.Assert(t, g.granted, qt.Equals, int64(400), qt.Commentf("the write may still take effect"))
 
 	g.applyRecord(newRecord(), 6, GrantEntry{Granted: 1000})
 	qt.Assert(t, g.granted, qt.Equals, int64(1000), qt.Commentf("another write came first"))
 }
 
-// Guards against an outage rate above the one that a successor may find.
-func TestPaceRisesOnlyWhenStored(t *testing.T) {
+// Guards against spending at a higher rate than a successor may find in the ledger.
+func TestAvailableFollowsAllowance(t *testing.T) {
 	g := newGrant("boatyard")
 	g.granted, g.allowance = 10_000, Allowance{Ceiling: 100, OutageRate: 50}
 	age := outageGrace + time.Second
--- a/internal/escrow/outage_test.go
+++ b/internal/escrow/outage_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a router without a grant that refuses for ever after an outage.
-func TestReturnOfTheStoreIsNoticedWithoutAnyGrant(t *testing.T) {
+// Guards against a router without a grant that goes on refusing requests after an outage.
+func TestStoreReturnIsNoticedWithoutGrant(t *testing.T) {
 	c := qt.New(t)
 	b := newTestbed(1_000_000)
 	b.home = "elsewhere"
@@ -25,7 +25,7 @@
 	c.Assert(m.isStoreDown(), qt.IsFalse)
 }
 
-// lendingPeers lend what they have and tell what they used.
+// lendingPeers lend what they have and report what they used.
 type lendingPeers struct {
 	noPeers
 	available, used int64
@@ -36,7 +36,7 @@
 }
 
 // Guards against refusals in an outage while other routers have tokens.
-func TestOutageIsRiddenOutOnLoans(t *testing.T) {
+func TestReserveBorrowsDuringOutage(t *testing.T) {
 	c := qt.New(t)
 	b := newTestbed(1_000_000)
 	b.store.SetDown(true)
@@ -45,15 +45,15 @@
 	_, err := m.Reserve(context.Background(), "boatyard", 8_000)
 	c.Assert(err, qt.IsNil)
 
-	b.steady += time.Minute // nothing opens soon: no use in waiting
+	b.steady += time.Minute // nothing becomes available soon: waiting is useless
 	m = b.newManager("p2", noPeers{})
 	m.syncStore(context.Background(), true)
 	_, err = m.Reserve(context.Background(), "boatyard", 8_000)
 	c.Assert(err, qt.Equals, ErrUnreachable)
 }
 
-// Guards against sending callers away a moment before a grant opens.
-func TestReservationWaitsForTheOpening(t *testing.T) {
+// Guards against refusing requests shortly before the outage rate covers them.
+func TestReserveWaitsForOutageRate(t *testing.T) {
 	c := qt.New(t)
 	b, m, _ := startTestbed()
 	m.storeDown = true
@@ -70,8 +70,8 @@
 	c.Assert(<-served, qt.IsNil)
 }
 
-// Guards against callers named to a router that can serve nobody.
-func TestRouterThatFindsNobodyIsIsolated(t *testing.T) {
+// Guards against callers being sent to a router that can't serve any request.
+func TestIsolated(t *testing.T) {
 	c := qt.New(t)
 	b := newTestbed(1_000_000)
 	b.home = "elsewhere"
@@ -91,8 +91,8 @@
 	c.Assert(m.Isolated(), qt.IsFalse)
 }
 
-// Guards against a final refusal while tokens may come back.
-func TestExhaustedIsSaidOnlyWhenSure(t *testing.T) {
+// Guards against a final refusal while tokens may be returned.
+func TestErrExhaustedOnlyIfCertain(t *testing.T) {
 	c := qt.New(t)
 	b := newTestbed(100_000)
 	b.steady = time.Minute
@@ -121,26 +121,26 @@
 	c.Assert(reserveError(m), qt.Equals, ErrExhausted)
 }
 
-// reserveError is what a request of 8,000 tokens is refused with. The records count as read
-// just now, so that no round with the store is waited for.
+// reserveError returns the error of a request for 8,000 tokens. It marks the records as
+// just read, so that the request doesn't wait for a round with the store.
 func reserveError(m *GrantManager) error {
 	m.recordsReadAt = m.opts.Clock().Steady
 	_, err := m.Reserve(context.Background(), "boatyard", 8_000)
 	return err
 }
 
-// Guards against requests that each take a part of the little there is, so that none is served.
-func TestLoansOfAnOutageAreServedInTurn(t *testing.T) {
+// Guards against requests that each take a part of too few tokens, so that none is served.
+func TestLoansInOutageAreServedInOrder(t *testing.T) {
 	c := qt.New(t)
 	b, m, _ := startTestbed()
 	b.store.SetDown(true)
 	m.syncStore(context.Background(), true)
 	g := m.grant("boatyard")
 	g.allowance, g.granted = Allowance{OutageRate: 10_000}, 100_000
-	lend := func(tokens int64, waiter string) int64 {
-		return m.Lend("boatyard", tokens, waiter).Tokens
+	lend := func(tokens int64, waiterID string) int64 {
+		return m.Lend("boatyard", tokens, waiterID).Tokens
 	}
-	b.steady = outageGrace + 200*time.Millisecond // 2,000 tokens are open
+	b.steady = outageGrace + 200*time.Millisecond // 2,000 tokens are available
 	c.Assert(lend(3_000, "first"), qt.Equals, int64(0))
 	c.Assert(lend(1_500, "second"), qt.Equals, int64(0))
 	c.Assert(lend(100, ""), qt.Equals, int64(0))
@@ -151,8 +151,8 @@
 	c.Assert(lend(1_500, "second"), qt.Equals, int64(1_500))
 }
 
-// Guards against refusals that say exhausted, or held, where nobody knows.
-func TestInDoubtIsToldFromExhausted(t *testing.T) {
+// Guards against refusals as exhausted or held elsewhere while spending is in doubt.
+func TestInDoubtIsNotExhausted(t *testing.T) {
 	c := qt.New(t)
 	b := newTestbed(1_000)
 	b.steady = time.Minute
@@ -168,7 +168,7 @@
 	c.Assert(m.Lend("boatyard", 500, "waiter").Short, qt.Equals, Exhausted)
 }
 
-// standbyPeers can't reach the home; the standby gives all.
+// standbyPeers can't reach the home; the standby lends all that is asked for.
 type standbyPeers struct {
 	noPeers
 	asked []string
@@ -182,8 +182,8 @@
 	return Loan{Short: PeerUnreachable}
 }
 
-// Guards against draws by all routers while a home is dead and still listed.
-func TestDeputyGivesWhileTheHomeIsOutOfReach(t *testing.T) {
+// Guards against draws by all routers while the home is dead but still listed.
+func TestStandbyLendsWhileHomeIsUnreachable(t *testing.T) {
 	c := qt.New(t)
 	b := newTestbed(1_000_000)
 	b.home = "home"
--- a/internal/escrow/sparselog_test.go
+++ b/internal/escrow/sparselog_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a log line for each refusal of a budget that is used up.
-func TestSparseLogTellsOnceASecond(t *testing.T) {
+// Guards against one log line per refusal once a budget is used up.
+func TestSparseLogInterval(t *testing.T) {
 	l, now := sparseLog{}, time.Minute
 	qt.Assert(t, l.due(now), qt.IsTrue)
 	qt.Assert(t, l.takeSuppressed(), qt.Equals, 0)
--- a/internal/escrow/statement_test.go
+++ b/internal/escrow/statement_test.go
@@ -9,8 +9,8 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// statementItems are the stored items of a budget with a router in contact, one whose process
-// was replaced, and one that nothing is heard of.
+// statementItems returns the stored items of a budget with three holders: one in contact,
+// one whose process was replaced, and a silent one.
 func statementItems(at time.Time) []store.Item {
 	record := Record{Format: recordFormat, Closed: 300, ClosedSpent: 200, Holders: map[string]map[string]GrantEntry{
 		"vm-1": {"p1": {Seq: 1, Granted: 400, Spent: 150}},
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestStatementTellsWhoHoldsABudgetAndWhatIsInDoubt(t *testing.T) {
+func TestStatementHoldingsAndInDoubt(t *testing.T) {
 	at := time.Unix(1_800_000_000, 0).UTC()
 	s, err := StatementOf(statementItems(at), "budget/", "boatyard", 1000)
 	qt.Assert(t, err, qt.IsNil)
@@ -40,14 +40,14 @@
 	}})
 }
 
-func TestStatementOfABudgetNobodyDrewFrom(t *testing.T) {
+func TestStatementOfUngrantedBudget(t *testing.T) {
 	s, err := StatementOf(nil, "budget/", "boatyard", 1000)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, s, qt.DeepEquals, Statement{Account: "boatyard", Free: 1000, Holdings: []Holding{}})
 }
 
-// Guards against a statement that shows a spoiled record as an untouched budget.
-func TestStatementOfASpoiledRecordIsAnError(t *testing.T) {
+// Guards against a statement that shows a corrupt record as an unused budget.
+func TestStatementOfInvalidRecord(t *testing.T) {
 	items := []store.Item{{Key: "budget/account/boatyard", Value: []byte(`{"format":7}`)}}
 	_, err := StatementOf(items, "budget/", "boatyard", 1000)
 	qt.Assert(t, err, qt.ErrorIs, ErrInvalidRecord)
--- a/internal/escrow/stored_test.go
+++ b/internal/escrow/stored_test.go
@@ -8,8 +8,8 @@
 	"chicorytiller.example/chicorytiller/internal/wireform"
 )
 
-// Guards against a renamed field, key or value that routers and operators' tools of
-// another version don't find in the store's records.
+// Guards against a renamed field, key or value: routers and operators' tools of other
+// versions could not read the stored records any more.
 func TestRecordsKeepTheirStoredForm(t *testing.T) {
 	wireform.Compare(t, "stored.golden", []string{
 		fmt.Sprintf("format %d", recordFormat),
--- a/internal/escrow/world_test.go
+++ b/internal/escrow/world_test.go
@@ -18,72 +18,73 @@
 	fixedseed.Main(m, map[string]string{"rapid.steps": "120", "rapid.checks": "300"})
 }
 
-// Budgets of the world. The first is small beside one request, the second roomy.
+// prepaidBudgets has a budget that is small compared with a request, and a larger one.
 var prepaidBudgets = map[string]int64{"boatyard": 60_000, "depot": 150_000}
 
-// cluster is some routers on one store, under any schedule of failures. Nothing runs
-// by itself: each action is one step, and time moves only by the action tick.
+// cluster simulates several routers on one store under any schedule of failures. Nothing
+// runs in the background: each action is one step, and only actions advance the clock.
 type cluster struct {
-	t       *rapid.T
-	store   *memstore.Store
-	steady  time.Duration
-	wall    time.Time
-	routers []*simRouter
-	born    int
-	// consumed is what backend servers have delivered, by account: the truth that
-	// must never pass what was paid.
+	t            *rapid.T
+	store        *memstore.Store
+	steady       time.Duration
+	wall         time.Time
+	routers      []*simRouter
+	incarnations int
+	// consumed is what backend servers have delivered, by account. It must never exceed
+	// what was paid.
 	consumed map[string]int64
 }
 
-// simRouter is one VM with its present process.
+// simRouter is one VM with its current router process.
 type simRouter struct {
-	vm     string
-	keeper *GrantManager
-	open   []*Reservation
-	boot   int
-	// skew is how far this VM's steady clock is off: it begins anew at each boot.
-	skew time.Duration
+	vm           string
+	manager      *GrantManager
+	reservations []*Reservation
+	boots        int
+	// clockSkew is the offset of this VM's monotonic clock, which each boot resets.
+	clockSkew time.Duration
 }
 
-func newWorld(t *rapid.T, vms int) *cluster {
-	w := &cluster{t: t, wall: time.Unix(1_800_000_000, 0), consumed: make(map[string]int64)}
-	w.store = memstore.New(func() time.Time { return time.Unix(0, 0).Add(w.steady) })
+func newCluster(t *rapid.T, vms int) *cluster {
+	c := &cluster{t: t, wall: time.Unix(1_800_000_000, 0), consumed: make(map[string]int64)}
+	c.store = memstore.New(func() time.Time { return time.Unix(0, 0).Add(c.steady) })
 	for i := 0; i < vms; i++ {
-		w.routers = append(w.routers, &simRouter{vm: fmt.Sprintf("vm-%d", i)})
-		w.start(w.routers[i])
+		c.routers = append(c.routers, &simRouter{vm: fmt.Sprintf("vm-%d", i)})
+		c.start(c.routers[i])
 	}
-	return w
+	return c
 }
 
-// start begins a new process on a VM; the one before is dead.
-func (w *cluster) start(r *simRouter) {
-	w.born++
-	boot := fmt.Sprintf("%s-boot-%d", r.vm, r.boot)
-	skew := r.skew
-	r.open = nil
-	r.keeper = New(Options{
-		Store: w.store, Prefix: "budget/", VM: r.vm, Address: r.vm, Incarnation: fmt.Sprintf("p%d", w.born),
+// start starts a new process on a VM; the previous one is dead.
+func (c *cluster) start(r *simRouter) {
+	c.incarnations++
+	boot := fmt.Sprintf("%s-boot-%d", r.vm, r.boots)
+	skew := r.clockSkew
+	r.reservations = nil
+	r.manager = New(Options{
+		Store: c.store, Prefix: "budget/", VM: r.vm, Address: r.vm, Incarnation: fmt.Sprintf("p%d", c.incarnations),
 		Budgets: func() map[string]int64 { return prepaidBudgets },
 		Log:     event.Discard(),
 		Clock: func() ClockReading {
-			return ClockReading{Boot: boot, Steady: w.steady + skew, Wall: w.wall.Add(w.steady)}
+			return ClockReading{Boot: boot, Steady: c.steady + skew, Wall: c.wall.Add(c.steady)}
 		},
-		Home:    func(account string) string { return w.homeOf(r, account) },
-		Holders: func(account string) []string { return []string{w.homeOf(r, account)} },
+		Home:    func(account string) string { return c.home(r, account) },
+		Holders: func(account string) []string { return []string{c.home(r, account)} },
 		Peers:   noPeers{},
 	})
 }
 
-// homeOf spreads the accounts over the routers.
-func (w *cluster) homeOf(r *simRouter, account string) string {
-	home := w.routers[len(account)%len(w.routers)]
+// home returns the address of the account's home, or "" if it is r. Accounts are spread
+// over the routers.
+func (c *cluster) home(r *simRouter, account string) string {
+	home := c.routers[len(account)%len(c.routers)]
 	if home == r {
 		return ""
 	}
 	return home.vm
 }
 
-// noPeers: in these schedules loans are actions of their own.
+// noPeers are unreachable. In the schedules that use it loans are separate actions.
 type noPeers struct{}
 
 func (noPeers) BorrowFrom(context.Context, string, string, int64, string) Loan {
@@ -92,286 +93,290 @@
 func (noPeers) Borrow(context.Context, string, int64) (int64, int64)    { return 0, 0 }
 func (noPeers) HandOver(context.Context, string, map[string]int64) bool { return false }
 
-func (w *cluster) router(name string) *simRouter {
-	return w.routers[rapid.IntRange(0, len(w.routers)-1).Draw(w.t, name)]
+func (c *cluster) router(name string) *simRouter {
+	return c.routers[rapid.IntRange(0, len(c.routers)-1).Draw(c.t, name)]
 }
 
-func (w *cluster) account() string {
-	return rapid.SampledFrom([]string{"boatyard", "depot"}).Draw(w.t, "account")
+func (c *cluster) account() string {
+	return rapid.SampledFrom([]string{"boatyard", "depot"}).Draw(c.t, "account")
 }
 
-// reserve sets tokens aside, if the router has them at hand.
-func (w *cluster) reserve(*rapid.T) {
-	r, account := w.router("router"), w.account()
-	tokens := rapid.Int64Range(1, 15_000).Draw(w.t, "tokens")
-	h := r.keeper.newPendingReservation(account, tokens, true, "")
+// reserve makes a reservation if the router has the tokens available.
+func (c *cluster) reserve(*rapid.T) {
+	r, account := c.router("router"), c.account()
+	tokens := rapid.Int64Range(1, 15_000).Draw(c.t, "tokens")
+	h := r.manager.newPendingReservation(account, tokens, true, "")
 	if h.missing > 0 {
 		h.release()
-		// A reservation that waits makes the next round draw for it.
-		if rapid.Bool().Draw(w.t, "waits") {
-			if changed, _ := r.keeper.fillOrWait(h, false); changed != nil {
-				r.keeper.syncStore(context.Background(), false)
-				r.keeper.stopWaiting(h)
+		// While a reservation waits, the next round draws for it.
+		if rapid.Bool().Draw(c.t, "waits") {
+			if changed, _ := r.manager.fillOrWait(h, false); changed != nil {
+				r.manager.syncStore(context.Background(), false)
+				r.manager.stopWaiting(h)
 			}
 		}
 		return
 	}
-	r.open = append(r.open, h.reservation())
-}
-
-// work is some seconds of steady use at one router: it draws, and delivers all that
-// it gets.
-func (w *cluster) work(*rapid.T) {
-	r, account := w.router("router"), w.account()
-	for i := rapid.IntRange(1, 12).Draw(w.t, "requests"); i > 0; i-- {
-		h := r.keeper.newPendingReservation(account, rapid.Int64Range(1, 15_000).Draw(w.t, "tokens"), true, "")
-		if changed, _ := r.keeper.fillOrWait(h, false); changed != nil {
-			r.keeper.syncStore(context.Background(), rapid.Bool().Draw(w.t, "refresh"))
-			r.keeper.stopWaiting(h)
+	r.reservations = append(r.reservations, h.reservation())
+}
+
+// serveRequests simulates up to a few seconds of steady use of one router, which draws
+// tokens and uses all that it gets.
+func (c *cluster) serveRequests(*rapid.T) {
+	r, account := c.router("router"), c.account()
+	for i := rapid.IntRange(1, 12).Draw(c.t, "requests"); i > 0; i-- {
+		h := r.manager.newPendingReservation(account, rapid.Int64Range(1, 15_000).Draw(c.t, "tokens"), true, "")
+		if changed, _ := r.manager.fillOrWait(h, false); changed != nil {
+			r.manager.syncStore(context.Background(), rapid.Bool().Draw(c.t, "refresh"))
+			r.manager.stopWaiting(h)
 		}
-		if changed, _ := r.keeper.fillOrWait(h, true); changed != nil {
-			r.keeper.stopWaiting(h)
+		if changed, _ := r.manager.fillOrWait(h, true); changed != nil {
+			r.manager.stopWaiting(h)
 		}
-		w.deliver(account, h)
-		w.steady += 100 * time.Millisecond
+		c.finishRequest(account, h)
+		c.steady += 100 * time.Millisecond
 	}
 }
 
-// deliver ends a request that got its tokens; one that didn't is refused after a while.
-func (w *cluster) deliver(account string, h *pendingReservation) {
+// finishRequest completes a request that got its tokens; one that did not is refused after
+// a while.
+func (c *cluster) finishRequest(account string, h *pendingReservation) {
 	if h.missing > 0 {
 		h.release()
-		w.steady += 200 * time.Millisecond
+		c.steady += 200 * time.Millisecond
 		return
 	}
-	w.consumed[account] += h.tokens
+	c.consumed[account] += h.tokens
 	h.reservation().Settle(h.tokens)
 }
 
-// settle ends a request that delivered some of what was reserved.
-func (w *cluster) settle(*rapid.T) {
-	r := w.router("router")
-	if len(r.open) == 0 {
+// settle completes a request that used some of its reservation.
+func (c *cluster) settle(*rapid.T) {
+	r := c.router("router")
+	if len(r.reservations) == 0 {
 		return
 	}
-	last := len(r.open) - 1
-	reservation := r.open[last]
-	r.open = r.open[:last]
-	used := rapid.Int64Range(0, reservation.tokens).Draw(w.t, "used")
-	w.consumed[reservation.grant.account] += used
+	last := len(r.reservations) - 1
+	reservation := r.reservations[last]
+	r.reservations = r.reservations[:last]
+	used := rapid.Int64Range(0, reservation.tokens).Draw(c.t, "used")
+	c.consumed[reservation.grant.account] += used
 	reservation.Settle(used)
 }
 
-func (w *cluster) syncStore(*rapid.T) {
-	r := w.router("router")
-	r.keeper.syncStore(context.Background(), rapid.Bool().Draw(w.t, "refresh"))
+func (c *cluster) syncStore(*rapid.T) {
+	r := c.router("router")
+	r.manager.syncStore(context.Background(), rapid.Bool().Draw(c.t, "refresh"))
 }
 
-// lend moves tokens between two routers; the answer may be lost and the loan
-// voided, or lost for good.
-func (w *cluster) lend(*rapid.T) {
-	from, to, account := w.router("from"), w.router("to"), w.account()
-	from.keeper.mu.Lock()
-	available := from.keeper.grant(account).available(from.keeper.contactAge())
-	from.keeper.mu.Unlock()
+// lend moves tokens between two routers. The response may be lost; then the loan is voided
+// or its tokens are lost.
+func (c *cluster) lend(*rapid.T) {
+	from, to, account := c.router("from"), c.router("to"), c.account()
+	from.manager.mu.Lock()
+	available := from.manager.grant(account).available(from.manager.contactAge())
+	from.manager.mu.Unlock()
 	if from == to || available <= 0 {
 		return
 	}
-	given := from.keeper.Lend(account, rapid.Int64Range(1, available).Draw(w.t, "tokens"), "").Tokens
-	w.answer(from, to, account, given)
+	lent := from.manager.Lend(account, rapid.Int64Range(1, available).Draw(c.t, "tokens"), "").Tokens
+	c.deliverLoan(from, to, account, lent)
 }
 
-// answer ends a loan: its answer arrives, or is lost and the loan voided, or lost for good.
-func (w *cluster) answer(from, to *simRouter, account string, given int64) {
-	switch rapid.SampledFrom([]string{"arrives", "voided", "lost"}).Draw(w.t, "answer") {
+// deliverLoan completes a loan: the response arrives, the loan is voided, or its tokens are
+// lost.
+func (c *cluster) deliverLoan(from, to *simRouter, account string, tokens int64) {
+	switch rapid.SampledFrom([]string{"arrives", "voided", "lost"}).Draw(c.t, "answer") {
 	case "arrives":
-		to.keeper.Accept(map[string]int64{account: given})
+		to.manager.Accept(map[string]int64{account: tokens})
 	case "voided":
-		from.keeper.TakeBack(account, given)
+		from.manager.TakeBack(account, tokens)
 	}
 }
 
-// ask lends to a request that asks a router as a holder, which holds ahead of need from then
-// on, whoever the account's home is. The answer may be lost, as with any loan.
-func (w *cluster) ask(*rapid.T) {
-	from, to, account := w.router("holder"), w.router("borrower"), w.account()
-	from.keeper.mu.Lock()
-	available := from.keeper.grant(account).available(from.keeper.contactAge())
-	from.keeper.mu.Unlock()
-	from.keeper.refreshStandby(from.keeper.grant(account))
+// lendAsHolder lends to a request that asks a router as a holder, which from then on draws
+// ahead of need, whichever router is the account's home. The response may be lost.
+func (c *cluster) lendAsHolder(*rapid.T) {
+	from, to, account := c.router("holder"), c.router("borrower"), c.account()
+	from.manager.mu.Lock()
+	available := from.manager.grant(account).available(from.manager.contactAge())
+	from.manager.mu.Unlock()
+	from.manager.refreshStandby(from.manager.grant(account))
 	if from == to || available <= 0 {
 		return
 	}
-	given := from.keeper.Lend(account, rapid.Int64Range(1, available).Draw(w.t, "tokens"), "waiter").Tokens
-	w.answer(from, to, account, given)
+	lent := from.manager.Lend(account, rapid.Int64Range(1, available).Draw(c.t, "tokens"), "waiter").Tokens
+	c.deliverLoan(from, to, account, lent)
 }
 
-// handBack is a sweep whose gifts arrive, or are lost.
-func (w *cluster) handBack(*rapid.T) {
-	from := w.router("borrower")
-	for address, tokens := range from.keeper.takeSurplus() {
-		if !rapid.Bool().Draw(w.t, "arrives") {
+// handBack is a sweep; the tokens that it hands over arrive or are lost.
+func (c *cluster) handBack(*rapid.T) {
+	from := c.router("borrower")
+	for address, tokens := range from.manager.takeSurplus() {
+		if !rapid.Bool().Draw(c.t, "arrives") {
 			continue
 		}
-		for _, to := range w.routers {
+		for _, to := range c.routers {
 			if to.vm == address {
-				to.keeper.Accept(tokens)
+				to.manager.Accept(tokens)
 			}
 		}
 	}
 }
 
-// die ends a process; what it had reserved may have been delivered whole.
-func (w *cluster) die(r *simRouter) {
-	for _, reservation := range r.open {
-		w.consumed[reservation.grant.account] += rapid.Int64Range(0, reservation.tokens).Draw(w.t, "delivered")
+// consumeReservations uses up to all of a dying process's reservations.
+func (c *cluster) consumeReservations(r *simRouter) {
+	for _, reservation := range r.reservations {
+		c.consumed[reservation.grant.account] += rapid.Int64Range(0, reservation.tokens).Draw(c.t, "delivered")
 	}
 }
 
-func (w *cluster) kill(*rapid.T) {
-	r := w.router("router")
-	w.die(r)
-	w.tickBy("down")
-	w.start(r)
+func (c *cluster) kill(*rapid.T) {
+	r := c.router("router")
+	c.consumeReservations(r)
+	c.advanceClock("down")
+	c.start(r)
 }
 
-// losePower is a kill after which the steady clock shows anything.
-func (w *cluster) losePower(*rapid.T) {
-	r := w.router("router")
-	w.die(r)
-	w.tickBy("down")
-	r.boot++
-	r.skew = time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(w.t, "skew"))
-	w.start(r)
+// losePower is a kill after which the monotonic clock may show any value.
+func (c *cluster) losePower(*rapid.T) {
+	r := c.router("router")
+	c.consumeReservations(r)
+	c.advanceClock("down")
+	r.boots++
+	r.clockSkew = time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(c.t, "skew"))
+	c.start(r)
 }
 
-func (w *cluster) stop(*rapid.T) {
-	r := w.router("router")
-	for len(r.open) > 0 {
-		reservation := r.open[0]
-		r.open = r.open[1:]
-		w.consumed[reservation.grant.account] += reservation.tokens
+func (c *cluster) stop(*rapid.T) {
+	r := c.router("router")
+	for len(r.reservations) > 0 {
+		reservation := r.reservations[0]
+		r.reservations = r.reservations[1:]
+		c.consumed[reservation.grant.account] += reservation.tokens
 		reservation.Settle(reservation.tokens)
 	}
-	_ = r.keeper.ReturnGrants(context.Background()) // an outage keeps it from returning
-	w.start(r)
+	_ = r.manager.ReturnGrants(context.Background()) // fails in an outage
+	c.start(r)
 }
 
-func (w *cluster) tickBy(name string) {
-	w.steady += time.Duration(rapid.Int64Range(0, 4000).Draw(w.t, name)) * time.Millisecond
+func (c *cluster) advanceClock(name string) {
+	c.steady += time.Duration(rapid.Int64Range(0, 4000).Draw(c.t, name)) * time.Millisecond
 }
 
-func (w *cluster) tick(*rapid.T) {
-	w.tickBy("ms")
+func (c *cluster) advance(*rapid.T) {
+	c.advanceClock("ms")
 }
 
-func (w *cluster) outage(*rapid.T) {
-	w.store.SetDown(rapid.IntRange(0, 3).Draw(w.t, "down") == 0)
+func (c *cluster) toggleOutage(*rapid.T) {
+	c.store.SetDown(rapid.IntRange(0, 3).Draw(c.t, "down") == 0)
 }
 
-// fates makes the store lose answers, or do writes late.
-func (w *cluster) fates(*rapid.T) {
-	fate := rapid.SampledFrom([]memstore.Outcome{memstore.Answered, memstore.Answered, memstore.Answered, memstore.ResponseLost, memstore.Delayed, memstore.Dropped}).Draw(w.t, "fate")
-	w.store.SetOutcome(func(store.Txn) memstore.Outcome { return fate })
+// setFate makes the store lose responses or apply writes late.
+func (c *cluster) setFate(*rapid.T) {
+	fate := rapid.SampledFrom([]memstore.Outcome{memstore.Answered, memstore.Answered, memstore.Answered, memstore.ResponseLost, memstore.Delayed, memstore.Dropped}).Draw(c.t, "fate")
+	c.store.SetOutcome(func(store.Txn) memstore.Outcome { return fate })
 }
 
-func (w *cluster) settleLate(*rapid.T) {
-	w.store.ApplyDelayed()
+func (c *cluster) applyLateWrites(*rapid.T) {
+	c.store.ApplyDelayed()
 }
 
-// check is the promise: nobody consumes more than was paid, also if all that is
-// reserved now gets delivered whole.
-func (w *cluster) check(t *rapid.T) {
-	most := make(map[string]int64)
-	for account, n := range w.consumed {
-		most[account] = n
+// checkConsumed checks that no more was consumed than was paid, even if all present
+// reservations are used in full.
+func (c *cluster) checkConsumed(t *rapid.T) {
+	maxConsumed := make(map[string]int64)
+	for account, tokens := range c.consumed {
+		maxConsumed[account] = tokens
 	}
-	for _, r := range w.routers {
-		for _, reservation := range r.open {
-			most[reservation.grant.account] += reservation.tokens
+	for _, r := range c.routers {
+		for _, reservation := range r.reservations {
+			maxConsumed[reservation.grant.account] += reservation.tokens
 		}
 	}
-	for account, n := range most {
-		if n > prepaidBudgets[account] {
-			t.Fatalf("%s: %d tokens of %d paid", account, n, prepaidBudgets[account])
+	for account, tokens := range maxConsumed {
+		if tokens > prepaidBudgets[account] {
+			t.Fatalf("%s: %d tokens of %d paid", account, tokens, prepaidBudgets[account])
 		}
 	}
 }
 
-// Guards against overspending under any order of kills, outages, lost and late writes, loans and stops.
+// Guards against overspending under any order of kills, outages, lost and late writes,
+// loans and stops.
 func TestNoScheduleSpendsMoreThanWasPaid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, rapid.IntRange(1, 4).Draw(t, "vms"))
+		c := newCluster(t, rapid.IntRange(1, 4).Draw(t, "vms"))
 		t.Repeat(map[string]func(*rapid.T){
-			"reserve": w.reserve, "work": w.work, "work more": w.work, "work on": w.work, "settle": w.settle, "round": w.syncStore, "round again": w.syncStore,
-			"lend": w.lend, "kill": w.kill, "lose power": w.losePower, "stop": w.stop, "tick": w.tick,
-			"outage": w.outage, "fates": w.fates, "settle late": w.settleLate, "": w.check,
+			"reserve": c.reserve, "work": c.serveRequests, "work more": c.serveRequests, "work on": c.serveRequests, "settle": c.settle, "round": c.syncStore, "round again": c.syncStore,
+			"lend": c.lend, "kill": c.kill, "lose power": c.losePower, "stop": c.stop, "tick": c.advance,
+			"outage": c.toggleOutage, "fates": c.setFate, "settle late": c.applyLateWrites, "": c.checkConsumed,
 		})
 	})
 }
 
-// worldPeers lends between the routers of the world; an answer may be lost.
-type worldPeers struct {
+// clusterPeers lends between the routers of a cluster; a response may be lost.
+type clusterPeers struct {
 	noPeers
-	w   *cluster
-	own *simRouter
+	cluster *cluster
+	own     *simRouter
 }
 
-func (p worldPeers) BorrowFrom(_ context.Context, address, account string, tokens int64, waiter string) Loan {
-	for _, from := range p.w.routers {
-		if from.vm != address || from == p.own || !rapid.Bool().Draw(p.w.t, "reached") {
+func (p clusterPeers) BorrowFrom(_ context.Context, address, account string, tokens int64, waiterID string) Loan {
+	for _, from := range p.cluster.routers {
+		if from.vm != address || from == p.own || !rapid.Bool().Draw(p.cluster.t, "reached") {
 			continue
 		}
-		loan := from.keeper.Lend(account, tokens, waiter)
-		switch rapid.SampledFrom([]string{"arrives", "arrives", "voided", "lost"}).Draw(p.w.t, "loan") {
+		loan := from.manager.Lend(account, tokens, waiterID)
+		switch rapid.SampledFrom([]string{"arrives", "arrives", "voided", "lost"}).Draw(p.cluster.t, "loan") {
 		case "arrives":
 			return loan
 		case "voided":
-			from.keeper.TakeBack(account, loan.Tokens)
+			from.manager.TakeBack(account, loan.Tokens)
 		}
 	}
 	return Loan{Short: PeerUnreachable}
 }
 
-// useUp is use at one router until all is granted, and what it gathers then from others.
-func (w *cluster) useUp(*rapid.T) {
-	r, account := w.router("router"), w.account()
-	r.keeper.opts.Peers = worldPeers{w: w, own: r}
-	for range rapid.IntRange(1, 20).Draw(w.t, "requests") {
-		h := r.keeper.newPendingReservation(account, rapid.Int64Range(1, 15_000).Draw(w.t, "tokens"), true, "")
+// exhaust uses tokens at one router until the whole budget is granted, and then gathers
+// tokens from others.
+func (c *cluster) exhaust(*rapid.T) {
+	r, account := c.router("router"), c.account()
+	r.manager.opts.Peers = clusterPeers{cluster: c, own: r}
+	for range rapid.IntRange(1, 20).Draw(c.t, "requests") {
+		h := r.manager.newPendingReservation(account, rapid.Int64Range(1, 15_000).Draw(c.t, "tokens"), true, "")
 		for range 3 {
-			if changed, _ := r.keeper.fillOrWait(h, true); changed != nil {
-				r.keeper.syncStore(context.Background(), true)
-				for _, g := range r.keeper.takeGatherings() {
-					r.keeper.runGathering(context.Background(), g)
+			if changed, _ := r.manager.fillOrWait(h, true); changed != nil {
+				r.manager.syncStore(context.Background(), true)
+				for _, pending := range r.manager.takeGatherings() {
+					r.manager.runGathering(context.Background(), pending)
 				}
-				r.keeper.stopWaiting(h)
+				r.manager.stopWaiting(h)
 			}
 		}
-		w.deliver(account, h)
+		c.finishRequest(account, h)
 	}
 }
 
-// Guards against overspending where a router that holds for all takes in what others hold.
+// Guards against overspending when a router gathers tokens from other holders.
 func TestNoScheduleWithGatheringSpendsMoreThanWasPaid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, rapid.IntRange(2, 4).Draw(t, "vms"))
+		c := newCluster(t, rapid.IntRange(2, 4).Draw(t, "vms"))
 		t.Repeat(map[string]func(*rapid.T){
-			"use up": w.useUp, "use up more": w.useUp, "work": w.work, "reserve": w.reserve, "settle": w.settle, "round": w.syncStore,
-			"kill": w.kill, "lose power": w.losePower, "stop": w.stop, "tick": w.tick,
-			"outage": w.outage, "fates": w.fates, "settle late": w.settleLate, "": w.check,
+			"use up": c.exhaust, "use up more": c.exhaust, "work": c.serveRequests, "reserve": c.reserve, "settle": c.settle, "round": c.syncStore,
+			"kill": c.kill, "lose power": c.losePower, "stop": c.stop, "tick": c.advance,
+			"outage": c.toggleOutage, "fates": c.setFate, "settle late": c.applyLateWrites, "": c.checkConsumed,
 		})
 	})
 }
 
-// Guards against overspending where several routers hold for others at any time.
+// Guards against overspending when several routers draw on behalf of others.
 func TestNoScheduleWithStandbysSpendsMoreThanWasPaid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, rapid.IntRange(2, 5).Draw(t, "vms"))
+		c := newCluster(t, rapid.IntRange(2, 5).Draw(t, "vms"))
 		t.Repeat(map[string]func(*rapid.T){
-			"reserve": w.reserve, "work": w.work, "work more": w.work, "settle": w.settle, "round": w.syncStore, "round again": w.syncStore,
-			"ask": w.ask, "ask again": w.ask, "hand back": w.handBack, "lend": w.lend, "kill": w.kill, "lose power": w.losePower,
-			"stop": w.stop, "tick": w.tick, "outage": w.outage, "fates": w.fates, "settle late": w.settleLate, "": w.check,
+			"reserve": c.reserve, "work": c.serveRequests, "work more": c.serveRequests, "settle": c.settle, "round": c.syncStore, "round again": c.syncStore,
+			"ask": c.lendAsHolder, "ask again": c.lendAsHolder, "hand back": c.handBack, "lend": c.lend, "kill": c.kill, "lose power": c.losePower,
+			"stop": c.stop, "tick": c.advance, "outage": c.toggleOutage, "fates": c.setFate, "settle late": c.applyLateWrites, "": c.checkConsumed,
 		})
 	})
 }
