--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,6 +1,6 @@
-// Package balance chooses the backend server for a request: the one that is
-// expected to begin its answer first, given what each has to read before it and
-// what it keeps of the request's prompt.
+// Package balance chooses the backend server for a request: the one that is expected to
+// begin its answer first, given the work that each server already has and the part of the
+// request's prompt that it has in its cache.
 package balance
 
 import (
@@ -13,28 +13,31 @@
 	"chicorytiller.example/chicorytiller/internal/request"
 )
 
-// Weights of the estimate, in milliseconds unless said otherwise.
+// Terms of the cost estimate, in milliseconds unless stated otherwise.
 const (
-	// tokensPerMs is how fast a server reads a prompt. Servers don't tell. Only its ratio to
-	// the other weights matters.
-	tokensPerMs = 40
-	// runningMs is what a request at the server delays a new one: its share of a
-	// step, and of prompts that this router doesn't know of. A larger one drives
-	// requests away from the servers that keep their shared parts.
-	runningMs = 2
-	// domainMs is what crossing into another failure domain costs: the round trip, and bytes
-	// that are paid for.
-	domainMs = 10
-	// serviceMs is one request's stay at a plain service's server.
-	serviceMs = 20
-	// coldMs keeps work away from cold servers while warm ones have no longer queue than this.
-	coldMs = 150
-	// dueMs is above the estimate of any server that answers at all.
-	dueMs = 1e6
+	// prefillTokensPerMs is the assumed rate at which a server processes prompt tokens. Servers
+	// don't report it. Only its ratio to the other terms matters.
+	prefillTokensPerMs = 40
+	// runningRequestMs is the delay that each running request adds to a new one: its share of a
+	// generation step, and of the prompts sent by other routers. A larger value drives requests
+	// away from the servers that have their shared prompt parts in the cache.
+	runningRequestMs = 2
+	// crossDomainMs is the cost of sending to another failure domain: the longer round trip, and
+	// traffic that is charged for.
+	crossDomainMs = 10
+	// serviceRequestMs is the time that a request spends at a server of a service without
+	// token counts.
+	serviceRequestMs = 20
+	// coldPenaltyMs keeps requests away from cold servers unless the warm ones have a longer
+	// queue than this.
+	coldPenaltyMs = 150
+	// probeBonusMs is larger than the estimate of any server that answers at all, so that a
+	// server to be probed is always chosen.
+	probeBonusMs = 1e6
 )
 
-// cacheKept is how long a server is taken to keep a part after its last use.
-const cacheKept = 20 * time.Second
+// cacheRetention is how long a server is assumed to cache a prompt part after its last use.
+const cacheRetention = 20 * time.Second
 
 // Pacer limits the requests sent to servers that are cold or announce a rate limit.
 type Pacer interface {
@@ -52,74 +55,77 @@
 	Delay(*fleet.Server) time.Duration
 }
 
-// Chooser chooses servers. It is safe for concurrent use.
+// Chooser chooses backend servers. It is safe for concurrent use.
 type Chooser struct {
-	domain string // own failure domain
+	domain string // failure domain of this router
 	pacer  Pacer
 	now    func() time.Time
 
-	mu   sync.Mutex
-	read map[cached]time.Time // parts that this router had servers read
+	mu        sync.Mutex
+	sentParts map[serverPart]time.Time // when this router last sent a prompt part to a server
 }
 
-type cached struct {
-	start, part string // of the server; of the prompt
+// serverPart is a prompt part at one incarnation of a server.
+type serverPart struct {
+	incarnation, partID string
 }
 
-// NewChooser makes a chooser for a router in the given failure domain. A nil now
-// means time.Now.
+// NewChooser returns a chooser for a router in the given failure domain. A nil now means
+// time.Now.
 func NewChooser(domain string, pacer Pacer, now func() time.Time) *Chooser {
 	if now == nil {
 		now = time.Now
 	}
-	return &Chooser{domain: domain, pacer: pacer, now: now, read: make(map[cached]time.Time)}
+	return &Chooser{domain: domain, pacer: pacer, now: now, sentParts: make(map[serverPart]time.Time)}
 }
 
-// Choice is the chosen server and why.
+// Choice is a server with its cost estimate for a request.
 type Choice struct {
 	Server *fleet.Server
-	// UncachedTokens is the prompt tokens that the server is expected to have to read.
+	// UncachedTokens is the expected number of prompt tokens that the server doesn't have in its
+	// cache and must process.
 	UncachedTokens float64
-	// CostMs is the estimate that won, in ms.
+	// CostMs is the estimated cost of sending the request to the server, in milliseconds.
 	CostMs float64
-	// avoided: it failed lately. bounded: it bears few requests, and this one needs a permit.
-	avoided, bounded bool
+	// inBackoff is set if the server failed recently, paced if the pacer limits its requests.
+	inBackoff, paced bool
 }
 
-// Choose returns the best of the servers that are not excluded; its Server is nil
-// if there is none. Servers that failed lately are taken only if all others are out, those
-// that bear few requests only within their bound.
+// Choose returns the cheapest of the servers that are not excluded; Server is nil if there is
+// none. A server that failed recently is chosen only if there is no other, a paced one only if
+// the pacer allows the request.
 func (c *Chooser) Choose(servers []*fleet.Server, r *request.Request, excluded func(*fleet.Server) bool) Choice {
-	home := c.homeOf(servers, r.LastSharedPartID())
-	best := c.best(servers, r, home, excluded, c.pacer.CanAcquire)
-	if best.bounded && !c.pacer.TryAcquire(best.Server) {
-		none := func(*fleet.Server) bool { return false }
-		return c.best(servers, r, home, excluded, none) // another request took the place meanwhile
+	homeServer := c.homeServer(servers, r.LastSharedPartID())
+	best := c.bestChoice(servers, r, homeServer, excluded, c.pacer.CanAcquire)
+	if best.paced && !c.pacer.TryAcquire(best.Server) {
+		never := func(*fleet.Server) bool { return false }
+		return c.bestChoice(servers, r, homeServer, excluded, never) // another request was counted meanwhile
 	}
 	return best
 }
 
-// best rates the servers that may get the request. room says of a bounded one whether it may.
-func (c *Chooser) best(servers []*fleet.Server, r *request.Request, home *fleet.Server, excluded, room func(*fleet.Server) bool) Choice {
+// bestChoice compares the servers that may get the request. canAcquire reports whether a paced
+// server may get it.
+func (c *Chooser) bestChoice(servers []*fleet.Server, r *request.Request, homeServer *fleet.Server, excluded, canAcquire func(*fleet.Server) bool) Choice {
 	now := c.now()
 	best := Choice{}
 	for _, s := range servers {
 		if s.Ineligible() || excluded(s) {
 			continue
 		}
-		bounded := c.pacer.Paced(s)
-		if bounded && !room(s) {
+		paced := c.pacer.Paced(s)
+		if paced && !canAcquire(s) {
 			continue
 		}
 		status := s.Status(now)
-		choice := c.rate(s, status, r, s == home, now)
-		choice.avoided, choice.bounded = status.InBackoff, bounded
-		if bounded {
-			choice.CostMs += c.penalty(s, now)
+		choice := c.estimate(s, status, r, s == homeServer, now)
+		choice.inBackoff, choice.paced = status.InBackoff, paced
+		if paced {
+			choice.CostMs += c.pacingAdjustment(s, now)
 		}
 		better := best.Server == nil ||
-			best.avoided && !choice.avoided ||
-			best.avoided == choice.avoided && choice.CostMs < best.CostMs
+			best.inBackoff && !choice.inBackoff ||
+			best.inBackoff == choice.inBackoff && choice.CostMs < best.CostMs
 		if better {
 			best = choice
 		}
@@ -127,34 +133,34 @@
 	return best
 }
 
-// penalty is what is added to the estimate of a server that bears few requests, in ms.
-func (c *Chooser) penalty(s *fleet.Server, now time.Time) float64 {
+// pacingAdjustment returns what is added to the cost of a paced server, in milliseconds.
+func (c *Chooser) pacingAdjustment(s *fleet.Server, now time.Time) float64 {
 	switch {
 	case s.ColdFor(now) > 0:
-		return coldMs
+		return coldPenaltyMs
 	case c.pacer.ProbeDue(s):
-		return -dueMs
+		return -probeBonusMs
 	}
 	return 0
 }
 
-func (c *Chooser) rate(s *fleet.Server, status fleet.Status, r *request.Request, isHome bool, now time.Time) Choice {
-	score := 0.0
+func (c *Chooser) estimate(s *fleet.Server, status fleet.Status, r *request.Request, isHome bool, now time.Time) Choice {
+	costMs := 0.0
 	if s.Domain != c.domain {
-		score += domainMs
+		costMs += crossDomainMs
 	}
 	if !r.HasTokenUsage {
-		return Choice{Server: s, CostMs: score + serviceMs*float64(status.Running)}
+		return Choice{Server: s, CostMs: costMs + serviceRequestMs*float64(status.Running)}
 	}
-	unread := float64(r.PromptTokens - c.kept(s, r, isHome, now))
-	score += (status.Prefill+unread)/tokensPerMs + runningMs*float64(status.Running)
-	return Choice{Server: s, UncachedTokens: unread, CostMs: score}
+	uncached := float64(r.PromptTokens - c.cachedTokens(s, r, isHome, now))
+	costMs += (status.Prefill+uncached)/prefillTokensPerMs + runningRequestMs*float64(status.Running)
+	return Choice{Server: s, UncachedTokens: uncached, CostMs: costMs}
 }
 
-// kept estimates the tokens of the prompt that a server need not read: the longest
-// run of shared parts that it read for this router, or all of them at their home,
-// where every router sends them.
-func (c *Chooser) kept(s *fleet.Server, r *request.Request, isHome bool, now time.Time) int {
+// cachedTokens estimates how many tokens of the prompt a server has in its cache: the longest
+// run of leading parts that this router sent it recently, or all shared parts at their home
+// server, where every router sends them.
+func (c *Chooser) cachedTokens(s *fleet.Server, r *request.Request, isHome bool, now time.Time) int {
 	if isHome {
 		return r.SharedTokens()
 	}
@@ -162,8 +168,8 @@
 	defer c.mu.Unlock()
 	sum := 0
 	for i := 0; i < len(r.PromptParts)-1; i++ {
-		at, found := c.read[cached{s.Incarnation, r.PromptParts[i].ID}]
-		if !found || now.Sub(at) > cacheKept {
+		sentAt, found := c.sentParts[serverPart{s.Incarnation, r.PromptParts[i].ID}]
+		if !found || now.Sub(sentAt) > cacheRetention {
 			break
 		}
 		sum += r.PromptParts[i].Tokens
@@ -171,38 +177,40 @@
 	return sum
 }
 
-// RecordSent notes that a server reads the request's parts.
+// RecordSent records that the request's shared prompt parts were sent to a server.
 func (c *Chooser) RecordSent(s *fleet.Server, r *request.Request) {
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := 0; i < len(r.PromptParts)-1; i++ {
-		c.read[cached{s.Incarnation, r.PromptParts[i].ID}] = now
+		c.sentParts[serverPart{s.Incarnation, r.PromptParts[i].ID}] = now
 	}
-	c.forget(now)
+	c.pruneSentParts(now)
 }
 
-// readMost bounds the memory of parts; some hundred bytes each.
-const readMost = 8192
+// maxSentParts bounds the memory used by sentParts; an entry takes about a hundred bytes.
+const maxSentParts = 8192
 
-func (c *Chooser) forget(now time.Time) {
-	if len(c.read) < readMost {
+// pruneSentParts removes expired entries once maxSentParts is reached, and all entries if that
+// isn't enough.
+func (c *Chooser) pruneSentParts(now time.Time) {
+	if len(c.sentParts) < maxSentParts {
 		return
 	}
-	for key, at := range c.read {
-		if now.Sub(at) > cacheKept {
-			delete(c.read, key)
+	for key, sentAt := range c.sentParts {
+		if now.Sub(sentAt) > cacheRetention {
+			delete(c.sentParts, key)
 		}
 	}
-	if len(c.read) >= readMost {
-		clear(c.read)
+	if len(c.sentParts) >= maxSentParts {
+		clear(c.sentParts)
 	}
 }
 
-// homeOf is the server that all routers prefer for a part (rendezvous hashing): a
-// part is then read at one server, and only that server's parts move when it goes.
-func (c *Chooser) homeOf(servers []*fleet.Server, part string) *fleet.Server {
-	if part == "" {
+// homeServer returns the server that all routers prefer for a prompt part, by rendezvous
+// hashing: each part is cached at one server, and when a server leaves, only its parts move.
+func (c *Chooser) homeServer(servers []*fleet.Server, partID string) *fleet.Server {
+	if partID == "" {
 		return nil
 	}
 	var home *fleet.Server
@@ -211,7 +219,7 @@
 		if s.Ineligible() || c.pacer.Paced(s) {
 			continue
 		}
-		if rank := xxhash.Sum64String(part + "/" + s.ID); home == nil || rank > highest {
+		if rank := xxhash.Sum64String(partID + "/" + s.ID); home == nil || rank > highest {
 			home, highest = s, rank
 		}
 	}
--- a/internal/balance/obstacle.go
+++ b/internal/balance/obstacle.go
@@ -6,65 +6,67 @@
 	"chicorytiller.example/chicorytiller/internal/fleet"
 )
 
-// State is why none of a service's servers can take a request, whatever the request.
+// State tells whether a service's servers can take a request, whatever the request, and if not,
+// why.
 type State int
 
 const (
-	// Available: one may take it.
+	// Available means that at least one server can take a request.
 	Available State = iota
-	// NoServers: all have left, or there never was one.
+	// NoServers means that all servers are leaving or that there are none.
 	NoServers
-	// AllEvacuated: operators ordered that none gets anything.
+	// AllEvacuated means that all servers that are not leaving are in evacuated failure domains.
 	AllEvacuated
-	// AllCold: those that are not evacuated started a moment ago, and this router may send
-	// them nothing more now.
+	// AllCold means that all servers that are not evacuated are cold and that this router may
+	// not send them another request now.
 	AllCold
-	// AllLimited: they bear few requests, some since they name a limit, and this router may
-	// send them nothing more now.
+	// AllLimited is as AllCold, but at least one of the servers announces a rate limit and
+	// is not cold.
 	AllLimited
 )
 
-// Availability is whether a service's servers can take a request now.
+// Availability describes whether a service's servers can take a request now.
 type Availability struct {
 	State State
-	// Delay is the time after which another try makes sense; only for AllCold and AllLimited.
+	// Delay is the time after which another attempt makes sense. It is set only for AllCold and
+	// AllLimited.
 	Delay time.Duration
-	// PacedOnly: one may take it, but all that may bear few requests.
+	// PacedOnly is set if a server can take a request, but only paced ones can.
 	PacedOnly bool
 }
 
-// Availability says whether any of a service's servers can take a request now.
+// Availability returns whether any of a service's servers can take a request now.
 func (c *Chooser) Availability(servers []*fleet.Server) Availability {
 	now := c.now()
-	out := Availability{State: NoServers}
-	bounded := false
+	result := Availability{State: NoServers}
+	blocked := false
 	for _, s := range servers {
 		switch {
 		case s.Leaving():
 		case s.Evacuated():
-			if out.State == NoServers {
-				out.State = AllEvacuated
+			if result.State == NoServers {
+				result.State = AllEvacuated
 			}
 		case !c.pacer.Paced(s):
 			return Availability{}
 		case c.pacer.CanAcquire(s):
-			out.PacedOnly = true
+			result.PacedOnly = true
 		default:
-			wait := c.pacer.Delay(s)
-			if !bounded || wait < out.Delay {
-				out.Delay = wait
+			delay := c.pacer.Delay(s)
+			if !blocked || delay < result.Delay {
+				result.Delay = delay
 			}
-			if out.State != AllLimited {
-				out.State = AllCold
+			if result.State != AllLimited {
+				result.State = AllCold
 			}
 			if s.ColdFor(now) == 0 {
-				out.State = AllLimited
+				result.State = AllLimited
 			}
-			bounded = true
+			blocked = true
 		}
 	}
-	if out.PacedOnly {
-		out.State = Available
+	if result.PacedOnly {
+		result.State = Available
 	}
-	return out
+	return result
 }
