--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -30,13 +30,13 @@
 
 // startFollowers starts the followers of the configuration, the backend servers and the fleet.
 func (n *Node) startFollowers(ctx context.Context, tasks *conc.WaitGroup) {
-	for _, f := range n.followers(&relay{node: n, wait: relayWatchWait}) {
+	for _, f := range n.followers(&relay{node: n, maxWait: relayMaxWait}) {
 		tasks.Go(func() { f.Run(ctx) })
 	}
 }
 
 // followers returns the followers of the configuration, the backend servers and the fleet, which
-// read from other routers through r. They share a gate, so that failed calls to the store are
+// read from other routers through r. They share a backoff, so that failed calls to the store are
 // spaced over all of them.
 func (n *Node) followers(r store.Relay) []*store.Follower {
 	followers := []*store.Follower{n.configFollower(), n.serversFollower(), n.fleetFollower()}
@@ -52,20 +52,20 @@
 
 func (n *Node) configFollower() *store.Follower {
 	return &store.Follower{Prefix: n.env.ConfigPrefix, Sink: &configSink{node: n},
-		MaxWait: configWatchWait, Pause: configWatchPause, CheckAfter: configCheckAfter, Timeout: watchMargin}
+		MaxWait: configMaxWait, Pause: configPause, CheckAfter: configCheckAfter, Timeout: watchTimeout}
 }
 
 func (n *Node) serversFollower() *store.Follower {
 	drain := max(n.settings.DrainTime, minDrain)
 	scale := func(fraction float64) time.Duration { return time.Duration(fraction * float64(drain)) }
 	return &store.Follower{Prefix: n.env.ServersPrefix, Sink: n.registry,
-		MaxWait: scale(serversWatchWaitFraction), Pause: scale(serversWatchPauseFraction), CheckAfter: scale(serversCheckAfterFraction),
-		Timeout: watchMargin, Burst: serversBurst}
+		MaxWait: scale(serversMaxWaitFraction), Pause: scale(serversPauseFraction), CheckAfter: scale(serversCheckAfterFraction),
+		Timeout: watchTimeout, Burst: serversBurst}
 }
 
 func (n *Node) fleetFollower() *store.Follower {
 	return &store.Follower{Prefix: fleetPrefix, Sink: &fleetSink{node: n}, Confirmed: n.membership.confirm,
-		MaxWait: fleetWatchWait, Pause: fleetWatchPause, CheckAfter: fleetCheckAfter, Timeout: watchMargin}
+		MaxWait: fleetMaxWait, Pause: fleetPause, CheckAfter: fleetCheckAfter, Timeout: watchTimeout}
 }
 
 // logSourceChange returns a store.Follower.SourceChanged callback that logs whether the follower
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -190,7 +190,7 @@
 func awaitCallTimeout(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
-	case <-time.After(relayWatchWait + 250*time.Millisecond):
+	case <-time.After(relayMaxWait + 250*time.Millisecond):
 	}
 	return store.ErrNoFeed
 }
@@ -322,15 +322,15 @@
 	}
 }
 
-// Guards against starvation: all followers share a gate that spaces the calls to an unreachable
+// Guards against starvation: all followers share a backoff that spaces the calls to an unreachable
 // store, and one of them could take every turn while the others stay stale.
 func TestAllPrefixesAreUpToDateSoonAfterPartitionOfSlowLink(t *testing.T) {
 	const (
-		rtt          = 400 * time.Millisecond
-		gateInterval = 800 * time.Millisecond // between calls of a follower to an unreachable store
-		poll         = 50 * time.Millisecond
-		callTime     = 2*rtt + 2*poll // of a call on a new connection
-		updateTime   = gateInterval + 2*(callTime+poll)
+		rtt             = 400 * time.Millisecond
+		backoffInterval = 800 * time.Millisecond // between calls of a follower to an unreachable store
+		poll            = 50 * time.Millisecond
+		callTime        = 2*rtt + 2*poll // of a call on a new connection
+		updateTime      = backoffInterval + 2*(callTime+poll)
 	)
 	forEachPhase(t, func(t *testing.T, phase time.Duration) {
 		runFollowerTest(t, silentRelay{}, func(f *followerTest) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -45,17 +45,17 @@
 // makes one call per wait and pause. The checks, not the watches, bound the age of the data: see
 // store.Follower.
 const (
-	// configWatchWait and configWatchPause confirm the configuration every 1.2 s. The pause keeps
+	// configMaxWait and configPause confirm the configuration every 1.2 s. The pause keeps
 	// a burst of versions from causing a burst of calls.
-	configWatchWait  = 1150 * time.Millisecond
-	configWatchPause = 50 * time.Millisecond
+	configMaxWait = 1150 * time.Millisecond
+	configPause   = 50 * time.Millisecond
 	// A version must be in force within two seconds. configCheckAfter leaves 0.4 s of them for a
 	// router that follows another one, for its second check and for slow links.
 	configCheckAfter = 1400 * time.Millisecond
 	// Timing of the follower of backend servers, as fractions of Settings.DrainTime, the time for
 	// which a leaving server keeps serving.
-	serversWatchWaitFraction  = 0.5
-	serversWatchPauseFraction = 0.1
+	serversMaxWaitFraction    = 0.5
+	serversPauseFraction      = 0.1
 	serversCheckAfterFraction = 0.7
 	// minDrain bounds the rate of calls if the configured drain time is shorter or zero.
 	minDrain = 500 * time.Millisecond
@@ -63,21 +63,21 @@
 	// entries change continuously there is only one call per wait and pause.
 	serversBurst = 4
 
-	// fleetWatchWait suits rare changes, fleetWatchPause bursts: after an outage every router
+	// fleetMaxWait suits rare changes, fleetPause bursts: after an outage every router
 	// registers again, and one paid call per registration would be expensive.
-	fleetWatchWait  = 2000 * time.Millisecond
-	fleetWatchPause = 300 * time.Millisecond
+	fleetMaxWait = 2000 * time.Millisecond
+	fleetPause   = 300 * time.Millisecond
 	// fleetCheckAfter lets a report of a request that crashes servers reach each router within
 	// three seconds, after which no router may send the request any more. The removal of routers
 	// is less urgent: callers leave a router that does not answer by themselves.
 	fleetCheckAfter = 2600 * time.Millisecond
-	// watchMargin is the time that an answer may take beyond its wait. It allows for a slow store
+	// watchTimeout is the time that an answer may take beyond its wait. It allows for a slow store
 	// and a link that queues packets for half a second each way. A call that hangs delays nothing,
 	// since the checks run beside it.
-	watchMargin = 1200 * time.Millisecond
-	// relayWatchWait is how long a store reader may hold back its answer to another router while
-	// nothing changes; see relay.wait.
-	relayWatchWait = 500 * time.Millisecond
+	watchTimeout = 1200 * time.Millisecond
+	// relayMaxWait is how long a store reader may hold back its answer to another router while
+	// nothing changes; see relay.maxWait.
+	relayMaxWait = 500 * time.Millisecond
 )
 
 // Environment connects a node to its deployment: the store, the clocks, the formats of stored
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -51,9 +51,9 @@
 // relay reads from the store readers of this router's failure domain. It implements store.Relay.
 type relay struct {
 	node *Node
-	// wait is how long another router may hold back its answer. It delays, by that time and a few
+	// maxWait is how long another router may hold back its answer. It delays, by that time and a few
 	// round trips, the detection of a router that froze or lost power.
-	wait time.Duration
+	maxWait time.Duration
 }
 
 // Active implements store.Relay.
@@ -97,7 +97,7 @@
 
 // Watch implements store.Relay.
 func (r *relay) Watch(ctx context.Context, prefix string, after store.Revision) (store.Changes, error) {
-	answer, err := r.ask(ctx, peers.FollowRequest{Prefix: prefix, After: after, Wait: r.wait})
+	answer, err := r.ask(ctx, peers.FollowRequest{Prefix: prefix, After: after, Wait: r.maxWait})
 	return answer.Changes, err
 }
 
