--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -126,7 +126,7 @@
 	if r.Route == nil {
 		return UnknownRoute
 	}
-	r.Account = p.AccountByKey(r.Key)
+	r.Account = p.AccountByKey(r.APIKey)
 	if r.Account == nil && !r.Route.Public {
 		return UnknownKey
 	}
@@ -230,7 +230,7 @@
 // hashContent returns a hash by which a repetition of a request by the same caller is recognized.
 func hashContent(r *request.Request) uint64 {
 	h := xxhash.New()
-	for _, part := range []string{r.Method, r.Host, r.Target, r.Key} {
+	for _, part := range []string{r.Method, r.Host, r.RequestURI, r.APIKey} {
 		_, _ = h.WriteString(part) // never fails
 		_, _ = h.Write([]byte{0})
 	}
--- a/internal/native/decode.go
+++ b/internal/native/decode.go
@@ -26,7 +26,7 @@
 		Method:  hr.Method,
 		Host:    host,
 		Body:    body,
-		Key:     keyOf(hr),
+		APIKey:  keyOf(hr),
 		Arrived: arrived,
 	}
 	account, refusal := authenticate(hr, p)
@@ -97,7 +97,7 @@
 	}
 	output := outputCap(id.Tokens(chat.MaxTokens), c.MaxTokens, model.ContextTokens-prompt)
 	r.HasTokenUsage, r.PromptTokens, r.MaxOutputTokens = true, int(prompt), int(output)
-	r.Target = pathChat
+	r.RequestURI = pathChat
 	r.Path = wholePath(chat.Model)
 	if chat.Stream {
 		r.Path = streamPath(chat.Model)
@@ -152,7 +152,7 @@
 	if !c.AllowsService(service.Name) {
 		return &forward.Refusal{Cause: forward.NotInContract, Detail: "the contract does not allow the service " + strconv.Quote(name)}
 	}
-	r.Target = path
+	r.RequestURI = path
 	r.HasTokenUsage, r.PromptTokens = true, int(service.PricePerCall)
 	r.Path = anyTimePath(service.Name)
 	if service.IsNonIdempotent(hr.Method, path) || strings.EqualFold(hr.Header.Get(headerIdempotent), "false") {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,5 @@
-// Package policy holds one version of the operator's configuration as immutable
-// objects: routes, services, client accounts and limits, with the look-ups that a
-// request needs.
+// Package policy holds one version of the operator's configuration as immutable objects:
+// routes, services, client accounts and limits, with the lookups that serving a request needs.
 package policy
 
 import (
@@ -12,21 +11,20 @@
 	"chicorytiller.example/chicorytiller/internal/id"
 )
 
-// Kind says how often a request may run.
+// Kind tells how often the requests of a route may run.
 type Kind int
 
-// Kinds of routes.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota
-	// NonIdempotent requests may run once at most.
+	// NonIdempotent requests may run at most once.
 	NonIdempotent
-	// Streaming requests are answered by a series of events. They may run once at
-	// most, unless their route is resumable.
+	// Streaming requests are answered by a stream of events. They may run at most once unless
+	// their route is resumable.
 	Streaming
 )
 
-// Target is one service of a route with its share of the route's requests.
+// Target is a service of a route with its share of the route's requests.
 type Target struct {
 	Service string
 	Weight  int
@@ -38,24 +36,24 @@
 	Host        string
 	Prefix      string
 	Kind        Kind
-	Timeout     time.Duration // longest time that the operator lets a caller wait
-	LatencyGoal time.Duration // time within which an answer has its full worth
-	GapGoal     time.Duration // longest pause between events that is still on time
+	Timeout     time.Duration // upper bound of the time that a caller may wait
+	LatencyGoal time.Duration // latency up to which an answer has its full value
+	GapGoal     time.Duration // longest pause between two events of a stream that is still acceptable
 	Priority    int           // 0 is the most urgent
 	Targets     []Target
-	MaxAttempts int  // most backend servers that one request may be sent to
-	Public      bool // needs no key
-	// Resumable streams may be continued at another backend server.
+	MaxAttempts int  // number of backend servers that one request may be sent to
+	Public      bool // requests need no API key
+	// Resumable is set if another backend server may continue a stream.
 	Resumable bool
 }
 
-// Retryable says whether a request of the route may run a second time.
+// Retryable reports whether a request of the route may run a second time.
 func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
-// PickService picks a service by weight. roll is uniform in [0, 1).
-func (r *Route) PickService(roll float64) string {
+// PickService returns a service chosen by weight. fraction must be uniformly distributed in [0, 1).
+func (r *Route) PickService(fraction float64) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
@@ -63,66 +61,67 @@
 	if total <= 0 {
 		return r.Targets[0].Service
 	}
-	left := int(roll * float64(total))
+	remaining := int(fraction * float64(total))
 	for _, t := range r.Targets {
-		left -= t.Weight
-		if left < 0 {
+		remaining -= t.Weight
+		if remaining < 0 {
 			return t.Service
 		}
 	}
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Service is a set of equal backend servers.
+// Service is a set of interchangeable backend servers.
 type Service struct {
 	Name string
-	// TokensPerEvent is what one event of a stream holds at most.
+	// TokensPerEvent is the maximum number of tokens in one event of a stream.
 	TokensPerEvent int
-	// WarmUp is how long a server is cold after a start.
+	// WarmUp is how long a server is cold after its start.
 	WarmUp time.Duration
-	// ColdRate is the requests a second that a cold server bears; 0: as many as a warm one.
+	// ColdRate is the number of requests per second that a cold server can take; 0 means as many
+	// as a warm one.
 	ColdRate float64
 }
 
-// Account is a client account: who pays.
+// Account is a client account, which requests are charged to.
 type Account struct {
 	Name string
-	// Priority replaces that of the route where HasPriority is set.
+	// Priority overrides the route's priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Prepaid is the tokens that the account may consume in all.
+	// Prepaid is the total number of tokens that the account may consume, if Metered is set.
 	Prepaid int64
-	// Metered is set if the account has a prepaid budget at all.
+	// Metered is set if the account has a prepaid budget.
 	Metered bool
-	// Contract is set where the account has one; it limits what the account may do.
+	// Contract limits what the account may request; nil if it has none.
 	Contract *contract.Contract
 }
 
-// Catalogue lists models and plain services by name.
+// Catalogue lists the models, and the services that are not models, by name.
 type Catalogue struct {
 	Models   map[id.Model]contract.Model
 	Services map[id.Service]contract.Service
 }
 
-// Limits bound what a caller may send.
+// Limits bounds what a caller may send.
 type Limits struct {
-	MaxBodyBytes int64
+	MaxBodyBytes int64 // 0 means no limit
 }
 
-// Policy is one version of the configuration. It is never changed once built.
+// Policy is one version of the configuration. It is immutable.
 type Policy struct {
 	Version  int64
 	Limits   Limits
 	Accounts map[string]*Account
 	Services map[string]*Service
-	// Catalogue is what callers of the product's own interface may ask for.
+	// Catalogue is what callers of the native API may request.
 	Catalogue Catalogue
 
 	byKey  map[string]*Account
-	byHost map[string][]*Route // longest prefix first
+	byHost map[string][]*Route // sorted by prefix length, longest first
 }
 
-// Definition is what a Policy is built from.
+// Definition is the input that New builds a Policy from.
 type Definition struct {
 	Version  int64
 	Routes   []Route
@@ -134,7 +133,7 @@
 	Catalogue Catalogue
 }
 
-// New builds the indexes of a policy.
+// New returns the policy for a definition. The policy shares the definition's slices.
 func New(d Definition) *Policy {
 	p := &Policy{
 		Version: d.Version,
@@ -166,7 +165,7 @@
 	return p
 }
 
-// Route returns the route with the longest prefix that begins the path, or nil.
+// Route returns the host's route with the longest prefix that matches the path, or nil.
 func (p *Policy) Route(host, path string) *Route {
 	for _, r := range p.byHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -176,7 +175,7 @@
 	return nil
 }
 
-// AccountByKey returns the account that holds an API key, or nil.
+// AccountByKey returns the account that an API key belongs to, or nil.
 func (p *Policy) AccountByKey(key string) *Account {
 	return p.byKey[key]
 }
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,5 +1,5 @@
-// Package request holds one caller's request as the router works on it, free of
-// the names that it had on the wire.
+// Package request defines a caller's request as the router handles it, independent of the API
+// that it arrived on.
 package request
 
 import (
@@ -8,68 +8,67 @@
 	"chicorytiller.example/chicorytiller/internal/policy"
 )
 
-// HeaderField is a header field that is passed on as it came.
+// HeaderField is a header field that is forwarded unchanged.
 type HeaderField struct {
 	Name  string
 	Value string
 }
 
-// PromptPart is one part of a prompt. Requests share parts; backend servers keep what they have
-// read of them.
+// PromptPart is one part of a prompt. Requests may share leading parts; backend servers cache the
+// parts that they have processed.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Request is a caller's request, read whole.
+// Request is a caller's request with its whole body.
 type Request struct {
-	ID      string // chosen by the caller, one for each of its attempts
-	Method  string
-	Host    string
-	Target  string // path and query, as sent
-	Path    string // the target's path
-	Headers []HeaderField
-	Body    []byte
-	// Key is the caller's API key; empty if it sent none.
-	Key string
+	ID         string // chosen by the caller, a new one for each of its attempts
+	Method     string
+	Host       string
+	RequestURI string // path and query, as sent
+	Path       string // path of RequestURI
+	Headers    []HeaderField
+	Body       []byte
+	APIKey     string // empty if the caller sent none
 
 	Arrived time.Time
-	// Timeout is how long the caller waits from Arrived on; zero if it didn't say.
+	// Timeout is how long the caller waits after Arrived; zero if not stated.
 	Timeout time.Duration
 
-	// HasTokenUsage says that PromptTokens and OutputTokens were given.
+	// HasTokenUsage is set if PromptTokens and MaxOutputTokens are known.
 	HasTokenUsage   bool
 	PromptTokens    int
-	MaxOutputTokens int // at most
+	MaxOutputTokens int
 	PromptParts     []PromptPart
 
-	// ResumeAfter is the id of the last event that the caller has, if HasResume.
+	// ResumeAfter is the ID of the last event that the caller has received, if HasResume is set.
 	ResumeAfter int64
 	HasResume   bool
 
-	// Idempotency is set if the caller wants one run and one answer for all its requests that
-	// carry the same key.
+	// Idempotency is set if all requests of the account with the same idempotency key should have
+	// one run and one answer.
 	Idempotency *Idempotency
 
-	// Account and Route are found by the router.
+	// Account, Route and Service are set by the router.
 	Account *policy.Account
 	Route   *policy.Route
 	Service string
 }
 
-// Idempotency is what a caller sent for its repeats to be told from new requests.
+// Idempotency identifies the repeats of a request.
 type Idempotency struct {
 	Key         string
-	RequestHash string // of what was asked: a key belongs to one request
+	RequestHash string // hash of the request; a key may not be reused for another one
 }
 
-// MaxTokens is the most tokens that the request can consume.
+// MaxTokens returns the maximum number of tokens that the request can consume.
 func (r *Request) MaxTokens() int64 {
 	return int64(r.PromptTokens) + int64(r.MaxOutputTokens)
 }
 
-// SharedTokens is the prompt tokens that other requests may share: all parts but
-// the last, which is the request's own.
+// SharedTokens returns the number of prompt tokens that other requests may share: those of all
+// parts but the last, which is the request's own.
 func (r *Request) SharedTokens() int {
 	sum := 0
 	for i := 0; i < len(r.PromptParts)-1; i++ {
@@ -78,7 +77,8 @@
 	return sum
 }
 
-// LastSharedPartID is the last part that other requests may share, empty if none.
+// LastSharedPartID returns the ID of the last part that other requests may share, or "" if there
+// is none.
 func (r *Request) LastSharedPartID() string {
 	if len(r.PromptParts) < 2 {
 		return ""
@@ -86,7 +86,7 @@
 	return r.PromptParts[len(r.PromptParts)-2].ID
 }
 
-// Priority is the rank of the request: the account's, if it has one, else the route's.
+// Priority returns the account's priority if it has one, else the route's. 0 is the most urgent.
 func (r *Request) Priority() int {
 	if r.Account != nil && r.Account.HasPriority {
 		return r.Account.Priority
--- a/internal/upstream/headers.go
+++ b/internal/upstream/headers.go
@@ -43,7 +43,7 @@
 	r := a.Request
 	buf = append(buf, r.Method...)
 	buf = append(buf, ' ')
-	buf = append(buf, r.Target...)
+	buf = append(buf, r.RequestURI...)
 	buf = append(buf, " HTTP/1.1\r\n"...)
 	buf = appendField(buf, "Host", r.Host)
 	for _, f := range r.Headers {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -79,7 +79,7 @@
 
 // ask sends a request and reads its whole answer.
 func (b *backend) ask(c *Client, id string) (string, error) {
-	r := &request.Request{ID: id, Method: http.MethodPost, Host: "h", Target: "/x", Body: []byte("body")}
+	r := &request.Request{ID: id, Method: http.MethodPost, Host: "h", RequestURI: "/x", Body: []byte("body")}
 	reply, err := c.Do(context.Background(), &Attempt{Request: r, Server: b.server})
 	if err != nil {
 		return "", err
@@ -94,7 +94,7 @@
 }
 
 func TestHeadCarriesWhatTheServerMustKnow(t *testing.T) {
-	r := &request.Request{ID: "r1", Method: http.MethodPost, Host: "h", Target: "/x?y=1", Body: []byte("abc"), HasTokenUsage: true,
+	r := &request.Request{ID: "r1", Method: http.MethodPost, Host: "h", RequestURI: "/x?y=1", Body: []byte("abc"), HasTokenUsage: true,
 		Headers: []request.HeaderField{{Name: "A", Value: "b"}}, Account: &policy.Account{Name: "boatyard", Priority: 12, HasPriority: true}}
 	a := &Attempt{Request: r, Server: fleet.NewServer(fleet.Entry{ID: "s1"}), Timeout: 1500 * time.Millisecond, Resume: true, ResumeAfter: 7}
 	qt.Assert(t, string(codec.AppendHead(nil, a)), qt.Equals, "POST /x?y=1 HTTP/1.1\r\nHost: h\r\nA: b\r\nX-Id: r1\r\nX-Server: s1\r\n"+
@@ -138,7 +138,7 @@
 	head, _ := strings.CutSuffix(answer("r1", "ok"), "ok") // the body is still to come
 	b := startBackend(t, head, answer("r2", "ok"))
 	c := newClient()
-	r := &request.Request{ID: "r1", Method: http.MethodGet, Host: "h", Target: "/x"}
+	r := &request.Request{ID: "r1", Method: http.MethodGet, Host: "h", RequestURI: "/x"}
 	reply, err := c.Do(context.Background(), &Attempt{Request: r, Server: b.server})
 	qt.Assert(t, err, qt.IsNil)
 	reply.Close()
