--- a/internal/escrow/ceiling_test.go
+++ b/internal/escrow/ceiling_test.go
@@ -125,12 +125,12 @@
 	c := qt.New(t)
 	b, m, g := startTestbed()
 	g.rate, g.rateWeight, g.rateUpdatedAt = 100_000, 1, b.steady
-	m.noteRoundTrip(500 * time.Millisecond)
+	m.updateRoundTrip(500 * time.Millisecond)
 	m.syncStore(context.Background(), true)
 	c.Assert(storedLedger(c, b).Allowances["boatyard"].Ceiling, qt.Equals, int64(100_000*(minCeilingHeadroom.Seconds()+1)))
 	c.Assert(m.drawTimeout() > 500*time.Millisecond, qt.IsTrue)
 	for range 30 {
-		m.noteRoundTrip(5 * time.Millisecond)
+		m.updateRoundTrip(5 * time.Millisecond)
 	}
 	g.rate, g.rateUpdatedAt = 100_000, b.steady
 	m.syncStore(context.Background(), true)
--- a/internal/escrow/draw.go
+++ b/internal/escrow/draw.go
@@ -188,11 +188,11 @@
 	defer cancel()
 	sent := m.opts.Clock().Steady
 	result, err := m.opts.Store.Commit(ctx, d.txn)
-	m.recordContact(err)
+	m.updateStoreDown(err)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err == nil || errors.Is(err, store.ErrConflict) {
-		m.noteRoundTrip(m.opts.Clock().Steady - sent)
+		m.updateRoundTrip(m.opts.Clock().Steady - sent)
 	}
 	switch {
 	case err == nil:
@@ -218,12 +218,12 @@
 	return err == nil
 }
 
-// noteRoundTrip updates roundTrip by the duration of an answered write. The store may be
+// updateRoundTrip updates roundTrip by the duration of an answered write. The store may be
 // slow for seconds. Ceilings are then raised by what is used during a write, and
 // reservations wait longer. Calls that timed out are not counted: they would raise ceilings
 // by about a second of use after each outage, and that would be lost if all routers crashed
 // then.
-func (m *GrantManager) noteRoundTrip(duration time.Duration) {
+func (m *GrantManager) updateRoundTrip(duration time.Duration) {
 	const decay = 0.8 // per write
 	m.roundTrip = max(duration, time.Duration(decay*float64(m.roundTrip)))
 }
@@ -267,8 +267,8 @@
 	m.wakeUp()
 }
 
-// recordContact sets storeDown by the result of a call to the store.
-func (m *GrantManager) recordContact(err error) {
+// updateStoreDown updates storeDown after a call to the store.
+func (m *GrantManager) updateStoreDown(err error) {
 	reached := err == nil || errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrLeaseGone)
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/escrow/gather.go
+++ b/internal/escrow/gather.go
@@ -127,7 +127,7 @@
 func (m *GrantManager) largestOtherHolder(g *grant) (vm, address string) {
 	most, now := int64(0), m.opts.Clock().Steady
 	for name := range g.record.Holders {
-		at, unreached := m.unreached[name]
+		at, unreached := m.unreachedAt[name]
 		if name == m.opts.VM || m.vmAddresses[name] == "" || unreached && now-at < unreachableBackoff {
 			continue
 		}
@@ -151,7 +151,7 @@
 	g.gathering = false
 	now := m.opts.Clock().Steady
 	if loan.Short == PeerUnreachable {
-		m.unreached[req.vm] = now
+		m.unreachedAt[req.vm] = now
 	} else {
 		g.reports[req.vm] = usageReport{spent: loan.Spent, at: now}
 		if loan.Tokens < req.tokens {
--- a/internal/escrow/gather_test.go
+++ b/internal/escrow/gather_test.go
@@ -33,7 +33,7 @@
 	vm, address := m.largestOtherHolder(g)
 	qt.Assert(t, vm, qt.Equals, "vm-3")
 	qt.Assert(t, address, qt.Equals, "three")
-	m.unreached["vm-3"] = m.opts.Clock().Steady
+	m.unreachedAt["vm-3"] = m.opts.Clock().Steady
 	_, address = m.largestOtherHolder(g)
 	qt.Assert(t, address, qt.Equals, "two")
 	b.steady += unreachableBackoff
--- a/internal/escrow/grant.go
+++ b/internal/escrow/grant.go
@@ -85,7 +85,7 @@
 	usedSinceRateUpdate int64 // settled or lent since rateUpdatedAt, less what was returned
 
 	seq         int64 // number of this incarnation's writes of the record
-	recordKnown bool  // record and revision are as last read from the store
+	recordKnown bool  // record was read, and no outcome of a later write is unknown
 	revision    int64 // of record
 	record      Record
 	// pendingRevision is the revision that unanswered writes of the record expect, or
@@ -224,7 +224,7 @@
 	if g.rate <= 0 {
 		return maxCeilingHeadroom
 	}
-	seconds := ceilingHeadroomShare * float64(g.remaining(prepaid)) / g.rate // in seconds
+	seconds := ceilingHeadroomShare * float64(g.remaining(prepaid)) / g.rate
 	return min(max(minCeilingHeadroom, time.Duration(min(seconds, maxCeilingHeadroom.Seconds())*float64(time.Second))), maxCeilingHeadroom)
 }
 
--- a/internal/escrow/keeper.go
+++ b/internal/escrow/keeper.go
@@ -95,15 +95,15 @@
 	holderDownAt map[string]time.Duration
 	// vmAddresses holds the addresses of the VMs that have a ledger, as of the last read.
 	vmAddresses map[string]string
-	// unreached is when a VM last failed to answer a gathering.
-	unreached map[string]time.Duration
+	// unreachedAt is when a VM last failed to answer a gathering.
+	unreachedAt map[string]time.Duration
 	// pendingGatherings are requested but not started.
 	pendingGatherings []gathering
 	gatherDue         chan struct{}
 	// conflicts counts consecutive writes that failed with a conflict.
 	conflicts int
-	// isolated counts consecutive reservations that found neither the store nor tokens.
-	isolated int
+	// isolatedCount counts consecutive reservations that found neither the store nor tokens.
+	isolatedCount int
 
 	// predecessorLedger is the ledger of an earlier process on this VM, and startClock a
 	// clock reading from when that process was certainly dead.
@@ -127,7 +127,7 @@
 func New(opts Options) *GrantManager {
 	return &GrantManager{
 		opts: opts, startClock: opts.Clock(), grants: make(map[string]*grant), holderDownAt: make(map[string]time.Duration),
-		vmAddresses: make(map[string]string), unreached: make(map[string]time.Duration),
+		vmAddresses: make(map[string]string), unreachedAt: make(map[string]time.Duration),
 		gatherDue: make(chan struct{}, 1), changed: make(chan struct{}), wake: make(chan struct{}, 1),
 	}
 }
@@ -348,7 +348,7 @@
 	defer cancel()
 	budgets := m.opts.Budgets()
 	snapshot, err := m.opts.Store.Read(ctx, m.opts.Prefix)
-	m.recordContact(err)
+	m.updateStoreDown(err)
 	if err != nil {
 		return false
 	}
--- a/internal/escrow/keeper_test.go
+++ b/internal/escrow/keeper_test.go
@@ -20,8 +20,8 @@
 	home    string // address of the account's home; empty: this router
 }
 
-func newTestbed(paid int64) *testbed {
-	b := &testbed{prepaid: map[string]int64{"boatyard": paid}}
+func newTestbed(prepaid int64) *testbed {
+	b := &testbed{prepaid: map[string]int64{"boatyard": prepaid}}
 	b.store = memstore.New(func() time.Time { return time.Unix(0, 0).Add(b.steady) })
 	return b
 }
--- a/internal/escrow/ledger_test.go
+++ b/internal/escrow/ledger_test.go
@@ -34,8 +34,8 @@
 		{name: "time of day moved back too far", now: readingAt("boot-2", 0, -time.Minute), unknown: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			age, by := last.maxAgeAt(test.now, test.leaseAlive)
-			qt.Assert(t, by == BasisGrant, qt.Equals, test.unknown)
+			age, basis := last.maxAgeAt(test.now, test.leaseAlive)
+			qt.Assert(t, basis == BasisGrant, qt.Equals, test.unknown)
 			qt.Assert(t, age, qt.Equals, test.age)
 		})
 	}
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -97,10 +97,10 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !isolated {
-		m.isolated = 0
+		m.isolatedCount = 0
 		return
 	}
-	m.isolated++
+	m.isolatedCount++
 }
 
 // Isolated reports whether this router is cut off from the store and from tokens of other
@@ -108,7 +108,7 @@
 func (m *GrantManager) Isolated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.storeDown && m.isolated >= isolationThreshold
+	return m.storeDown && m.isolatedCount >= isolationThreshold
 }
 
 // pendingReservation is a reservation that may still lack tokens. The tokens that it has are
--- a/internal/escrow/world_test.go
+++ b/internal/escrow/world_test.go
@@ -84,7 +84,7 @@
 	return home.vm
 }
 
-// noPeers are unreachable. In the schedules that use it loans are separate actions.
+// noPeers are unreachable. Schedules that use it lend in separate actions.
 type noPeers struct{}
 
 func (noPeers) BorrowFrom(context.Context, string, string, int64, string) Loan {
@@ -105,19 +105,19 @@
 func (c *cluster) reserve(*rapid.T) {
 	r, account := c.router("router"), c.account()
 	tokens := rapid.Int64Range(1, 15_000).Draw(c.t, "tokens")
-	h := r.manager.newPendingReservation(account, tokens, true, "")
-	if h.missing > 0 {
-		h.release()
+	pending := r.manager.newPendingReservation(account, tokens, true, "")
+	if pending.missing > 0 {
+		pending.release()
 		// While a reservation waits, the next round draws for it.
 		if rapid.Bool().Draw(c.t, "waits") {
-			if changed, _ := r.manager.fillOrWait(h, false); changed != nil {
+			if changed, _ := r.manager.fillOrWait(pending, false); changed != nil {
 				r.manager.syncStore(context.Background(), false)
-				r.manager.stopWaiting(h)
+				r.manager.stopWaiting(pending)
 			}
 		}
 		return
 	}
-	r.reservations = append(r.reservations, h.reservation())
+	r.reservations = append(r.reservations, pending.reservation())
 }
 
 // serveRequests simulates up to a few seconds of steady use of one router, which draws
@@ -125,29 +125,29 @@
 func (c *cluster) serveRequests(*rapid.T) {
 	r, account := c.router("router"), c.account()
 	for i := rapid.IntRange(1, 12).Draw(c.t, "requests"); i > 0; i-- {
-		h := r.manager.newPendingReservation(account, rapid.Int64Range(1, 15_000).Draw(c.t, "tokens"), true, "")
-		if changed, _ := r.manager.fillOrWait(h, false); changed != nil {
+		pending := r.manager.newPendingReservation(account, rapid.Int64Range(1, 15_000).Draw(c.t, "tokens"), true, "")
+		if changed, _ := r.manager.fillOrWait(pending, false); changed != nil {
 			r.manager.syncStore(context.Background(), rapid.Bool().Draw(c.t, "refresh"))
-			r.manager.stopWaiting(h)
+			r.manager.stopWaiting(pending)
 		}
-		if changed, _ := r.manager.fillOrWait(h, true); changed != nil {
-			r.manager.stopWaiting(h)
+		if changed, _ := r.manager.fillOrWait(pending, true); changed != nil {
+			r.manager.stopWaiting(pending)
 		}
-		c.finishRequest(account, h)
+		c.finishRequest(account, pending)
 		c.steady += 100 * time.Millisecond
 	}
 }
 
 // finishRequest completes a request that got its tokens; one that did not is refused after
 // a while.
-func (c *cluster) finishRequest(account string, h *pendingReservation) {
-	if h.missing > 0 {
-		h.release()
+func (c *cluster) finishRequest(account string, pending *pendingReservation) {
+	if pending.missing > 0 {
+		pending.release()
 		c.steady += 200 * time.Millisecond
 		return
 	}
-	c.consumed[account] += h.tokens
-	h.reservation().Settle(h.tokens)
+	c.consumed[account] += pending.tokens
+	pending.reservation().Settle(pending.tokens)
 }
 
 // settle completes a request that used some of its reservation.
@@ -268,14 +268,14 @@
 	c.advanceClock("ms")
 }
 
-func (c *cluster) toggleOutage(*rapid.T) {
+func (c *cluster) setOutage(*rapid.T) {
 	c.store.SetDown(rapid.IntRange(0, 3).Draw(c.t, "down") == 0)
 }
 
-// setFate makes the store lose responses or apply writes late.
-func (c *cluster) setFate(*rapid.T) {
-	fate := rapid.SampledFrom([]memstore.Outcome{memstore.Answered, memstore.Answered, memstore.Answered, memstore.ResponseLost, memstore.Delayed, memstore.Dropped}).Draw(c.t, "fate")
-	c.store.SetOutcome(func(store.Txn) memstore.Outcome { return fate })
+// setOutcome makes the store lose responses or apply writes late.
+func (c *cluster) setOutcome(*rapid.T) {
+	outcome := rapid.SampledFrom([]memstore.Outcome{memstore.Answered, memstore.Answered, memstore.Answered, memstore.ResponseLost, memstore.Delayed, memstore.Dropped}).Draw(c.t, "fate")
+	c.store.SetOutcome(func(store.Txn) memstore.Outcome { return outcome })
 }
 
 func (c *cluster) applyLateWrites(*rapid.T) {
@@ -309,7 +309,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"reserve": c.reserve, "work": c.serveRequests, "work more": c.serveRequests, "work on": c.serveRequests, "settle": c.settle, "round": c.syncStore, "round again": c.syncStore,
 			"lend": c.lend, "kill": c.kill, "lose power": c.losePower, "stop": c.stop, "tick": c.advance,
-			"outage": c.toggleOutage, "fates": c.setFate, "settle late": c.applyLateWrites, "": c.checkConsumed,
+			"outage": c.setOutage, "fates": c.setOutcome, "settle late": c.applyLateWrites, "": c.checkConsumed,
 		})
 	})
 }
@@ -343,17 +343,17 @@
 	r, account := c.router("router"), c.account()
 	r.manager.opts.Peers = clusterPeers{cluster: c, own: r}
 	for range rapid.IntRange(1, 20).Draw(c.t, "requests") {
-		h := r.manager.newPendingReservation(account, rapid.Int64Range(1, 15_000).Draw(c.t, "tokens"), true, "")
+		pending := r.manager.newPendingReservation(account, rapid.Int64Range(1, 15_000).Draw(c.t, "tokens"), true, "")
 		for range 3 {
-			if changed, _ := r.manager.fillOrWait(h, true); changed != nil {
+			if changed, _ := r.manager.fillOrWait(pending, true); changed != nil {
 				r.manager.syncStore(context.Background(), true)
-				for _, pending := range r.manager.takeGatherings() {
-					r.manager.runGathering(context.Background(), pending)
+				for _, g := range r.manager.takeGatherings() {
+					r.manager.runGathering(context.Background(), g)
 				}
-				r.manager.stopWaiting(h)
+				r.manager.stopWaiting(pending)
 			}
 		}
-		c.finishRequest(account, h)
+		c.finishRequest(account, pending)
 	}
 }
 
@@ -364,7 +364,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"use up": c.exhaust, "use up more": c.exhaust, "work": c.serveRequests, "reserve": c.reserve, "settle": c.settle, "round": c.syncStore,
 			"kill": c.kill, "lose power": c.losePower, "stop": c.stop, "tick": c.advance,
-			"outage": c.toggleOutage, "fates": c.setFate, "settle late": c.applyLateWrites, "": c.checkConsumed,
+			"outage": c.setOutage, "fates": c.setOutcome, "settle late": c.applyLateWrites, "": c.checkConsumed,
 		})
 	})
 }
@@ -376,7 +376,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"reserve": c.reserve, "work": c.serveRequests, "work more": c.serveRequests, "settle": c.settle, "round": c.syncStore, "round again": c.syncStore,
 			"ask": c.lendAsHolder, "ask again": c.lendAsHolder, "hand back": c.handBack, "lend": c.lend, "kill": c.kill, "lose power": c.losePower,
-			"stop": c.stop, "tick": c.advance, "outage": c.toggleOutage, "fates": c.setFate, "settle late": c.applyLateWrites, "": c.checkConsumed,
+			"stop": c.stop, "tick": c.advance, "outage": c.setOutage, "fates": c.setOutcome, "settle late": c.applyLateWrites, "": c.checkConsumed,
 		})
 	})
 }
