--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -14,72 +14,72 @@
 	"chicorytiller.example/chicorytiller/internal/escrow"
 )
 
-// ErrUnreachable: a peer did not answer in time.
+// ErrUnreachable: a peer did not answer in time, or its connection failed. It may have run the
+// call.
 var ErrUnreachable = errors.New("peers: unreachable")
 
-// ErrNotSent: no connection to a peer came about.
+// ErrNotSent: a peer could not be connected to; it has not run the call.
 var ErrNotSent = errors.New("peers: not sent")
 
-// Patience with peers. A caller waits for the outcome.
+// Time limits of calls to peers. They are short because the caller of a request waits meanwhile.
 const (
 	dialTimeout = 200 * time.Millisecond
 	callTimeout = 250 * time.Millisecond
-	// avoidFor keeps a peer that didn't answer from being asked again at once.
-	avoidFor = 2 * time.Second
-	// askedMost bounds the peers asked for one loan: in a large fleet a few hold
-	// enough, and each costs a round trip.
-	askedMost = 12
+	// peerBackoff is how long a peer that failed is not called again.
+	peerBackoff = 2 * time.Second
+	// maxLoanPeers bounds how many peers Borrow asks: each costs a round trip, and in a large
+	// fleet a few peers hold enough tokens.
+	maxLoanPeers = 12
 )
 
-// Client asks peers. It is safe for concurrent use.
+// Client calls peers. It is safe for concurrent use.
 type Client struct {
-	// addresses lists the other routers' addresses.
 	addresses   func() []string
 	incarnation string
 	clock       Clock
-	serial      atomic.Uint64
+	lastSerial  atomic.Uint64
 
-	mu        sync.Mutex
-	clients   map[string]*rpc.Client
-	avoided   map[string]time.Time
-	answered  map[string]time.Time // when a peer's last answer came
-	unsettled []unsettled
+	mu           sync.Mutex
+	connections  map[string]*rpc.Client // this and the next two by peer address
+	backoffUntil map[string]time.Time
+	lastAnswer   map[string]time.Time
+	pending      []pendingTransfer
 }
 
-// unsettled is a transfer whose answer was lost: a loan to be voided, or a gift to
-// be sent again.
-type unsettled struct {
+// pendingTransfer is a transfer whose answer was lost: a loan to be voided, or a gift to be sent
+// again.
+type pendingTransfer struct {
 	address string
 	since   time.Time
-	loan    TransferID
-	gift    *Gift // nil: a loan
+	loanID  TransferID
+	gift    *Gift // nil for a loan
 }
 
-// NewClient makes a client for a process; addresses lists the other routers as
-// known now.
+// NewClient returns a client for the process with the given incarnation. addresses returns the
+// current addresses of the other routers.
 func NewClient(incarnation string, addresses func() []string, clock Clock) *Client {
-	return &Client{incarnation: incarnation, addresses: addresses, clock: clock, clients: make(map[string]*rpc.Client), avoided: make(map[string]time.Time),
-		answered: make(map[string]time.Time)}
+	return &Client{incarnation: incarnation, addresses: addresses, clock: clock, connections: make(map[string]*rpc.Client), backoffUntil: make(map[string]time.Time),
+		lastAnswer: make(map[string]time.Time)}
 }
 
-// Borrow asks peers in random order until it has the tokens or ctx ends. It
-// returns what it got, which may be less or nothing, and what the peers that were
-// asked have used.
+// Borrow asks peers for tokens in random order until it has enough or ctx ends. It returns the
+// number of tokens that it got, which may be less than asked for or zero, and the number that
+// the peers that answered have used.
 func (c *Client) Borrow(ctx context.Context, account string, tokens int64) (got, used int64) {
 	addresses := c.addresses()
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	asked := 0
 	for _, address := range addresses {
-		if got >= tokens || asked == askedMost || ctx.Err() != nil {
+		if got >= tokens || asked == maxLoanPeers || ctx.Err() != nil {
 			break
 		}
-		if c.avoiding(address) {
+		if c.inBackoff(address) {
 			continue
 		}
 		asked++
 		loan, err := c.lend(ctx, address, account, tokens-got, noWaiter)
 		if err != nil {
-			continue // the peer is avoided now; others are asked
+			continue // the peer is in back-off now
 		}
 		got += loan.Tokens
 		used += loan.Used
@@ -87,25 +87,26 @@
 	return got, used
 }
 
-// BorrowFrom asks one peer, as a holder of the account, for tokens; the waiter names the
-// request in its queue.
-func (c *Client) BorrowFrom(ctx context.Context, address, account string, tokens int64, waiter string) escrow.Loan {
-	if c.avoiding(address) {
+// BorrowFrom asks one holder of the account's budget for tokens. waiterID names the request in
+// the queue of that peer.
+func (c *Client) BorrowFrom(ctx context.Context, address, account string, tokens int64, waiterID string) escrow.Loan {
+	if c.inBackoff(address) {
 		return escrow.Loan{Short: escrow.PeerUnreachable}
 	}
-	loan, err := c.lend(ctx, address, account, tokens, waiter)
+	loan, err := c.lend(ctx, address, account, tokens, waiterID)
 	if err != nil {
 		return escrow.Loan{Short: escrow.PeerUnreachable}
 	}
 	return escrow.Loan{Tokens: loan.Tokens, Used: loan.Used, Spent: loan.Spent, Short: loan.Short}
 }
 
-// noWaiter asks for what nobody waits for.
+// noWaiter is the waiter ID of a loan without a place in the peer's queue: the peer lends only
+// tokens that no queued request waits for.
 const noWaiter = ""
 
-// lend asks for a loan. One whose answer is lost is not used, and voided later.
-func (c *Client) lend(ctx context.Context, address, account string, tokens int64, waiter string) (Loan, error) {
-	request := LoanRequest{ID: c.nextID(), Account: account, Tokens: tokens, Waiter: waiter, Clock: c.clock.Tick()}
+// lend asks for a loan. A loan whose answer is lost is not used; it is voided later.
+func (c *Client) lend(ctx context.Context, address, account string, tokens int64, waiterID string) (Loan, error) {
+	request := LoanRequest{ID: c.nextID(), Account: account, Tokens: tokens, Waiter: waiterID, Clock: c.clock.Tick()}
 	loan := Loan{}
 	err := c.call(ctx, address, "Lend", request, &loan)
 	if err == nil {
@@ -113,69 +114,69 @@
 		return loan, nil
 	}
 	if !errors.Is(err, ErrNotSent) {
-		c.settleLater(unsettled{address: address, since: time.Now(), loan: request.ID})
+		c.addPending(pendingTransfer{address: address, since: time.Now(), loanID: request.ID})
 	}
 	return Loan{}, err
 }
 
 func (c *Client) nextID() TransferID {
-	return TransferID{Incarnation: c.incarnation, Serial: c.serial.Add(1)}
+	return TransferID{Incarnation: c.incarnation, Serial: c.lastSerial.Add(1)}
 }
 
-func (c *Client) settleLater(u unsettled) {
+func (c *Client) addPending(t pendingTransfer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unsettled = append(c.unsettled, u)
+	c.pending = append(c.pending, t)
 }
 
-// Pace of the settling of transfers.
+// Retries of pending transfers.
 const (
-	settleEvery = 500 * time.Millisecond
-	// settleFor is how long a peer is tried: one that doesn't answer for so long
-	// is gone, and what it held with it.
-	settleFor = 30 * time.Second
+	settleInterval = 500 * time.Millisecond
+	// settleTimeout is how long a transfer is retried: a peer that doesn't answer for so long is
+	// gone, and the tokens that it held with it.
+	settleTimeout = 30 * time.Second
 )
 
-// Run settles transfers whose answers were lost, until ctx ends.
+// Run settles transfers whose answers were lost. It returns when ctx ends.
 func (c *Client) Run(ctx context.Context) {
-	ticker := time.NewTicker(settleEvery)
+	ticker := time.NewTicker(settleInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			c.settle(ctx)
+			c.settlePending(ctx)
 		}
 	}
 }
 
-func (c *Client) settle(ctx context.Context) {
+func (c *Client) settlePending(ctx context.Context) {
 	c.mu.Lock()
-	due := c.unsettled
-	c.unsettled = nil
+	transfers := c.pending
+	c.pending = nil
 	c.mu.Unlock()
-	for _, u := range due {
-		if time.Since(u.since) > settleFor {
+	for _, t := range transfers {
+		if time.Since(t.since) > settleTimeout {
 			continue
 		}
-		if c.avoiding(u.address) || c.settleOne(ctx, u) != nil {
-			c.settleLater(u)
+		if c.inBackoff(t.address) || c.settle(ctx, t) != nil {
+			c.addPending(t)
 		}
 	}
 }
 
-func (c *Client) settleOne(ctx context.Context, u unsettled) error {
-	if u.gift != nil {
-		return c.call(ctx, u.address, "HandOver", *u.gift, &GiftAnswer{})
+func (c *Client) settle(ctx context.Context, t pendingTransfer) error {
+	if t.gift != nil {
+		return c.call(ctx, t.address, "HandOver", *t.gift, &GiftAnswer{})
 	}
-	return c.call(ctx, u.address, "Void", u.loan, &struct{}{})
+	return c.call(ctx, t.address, "Void", t.loanID, &struct{}{})
 }
 
-// HandOver gives tokens to a peer. It returns false only if the peer surely got
-// none of them: no connection came about, or it refused them.
+// HandOver gives tokens to a peer. It returns false only if the peer certainly got none of them:
+// it could not be connected to, or it refused them.
 func (c *Client) HandOver(ctx context.Context, address string, tokens map[string]int64) bool {
-	if c.avoiding(address) {
+	if c.inBackoff(address) {
 		return false
 	}
 	gift := Gift{ID: c.nextID(), Tokens: tokens, Clock: c.clock.Tick()}
@@ -185,54 +186,54 @@
 		return false
 	}
 	if err != nil {
-		c.settleLater(unsettled{address: address, since: time.Now(), gift: &gift})
+		c.addPending(pendingTransfer{address: address, since: time.Now(), gift: &gift})
 	}
 	return true
 }
 
-// Known asks one peer for what it knows.
+// Known asks a peer for the state that a router needs to start.
 func (c *Client) Known(ctx context.Context, address string) (Known, error) {
 	known := Known{}
 	err := c.call(ctx, address, "Known", KnownRequest{}, &known)
 	return known, err
 }
 
-func (c *Client) avoiding(address string) bool {
+func (c *Client) inBackoff(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Now().Before(c.avoided[address])
+	return time.Now().Before(c.backoffUntil[address])
 }
 
 func (c *Client) call(ctx context.Context, address, method string, request, answer any) error {
-	return c.callFor(ctx, callTimeout, address, method, request, answer)
+	return c.callWithTimeout(ctx, callTimeout, address, method, request, answer)
 }
 
-// callFor makes a call whose answer may take some time. A peer that is silent for that long is
-// avoided, and its connection dropped with all calls on it; so that needs to be the peer's
-// fault. It is not if who asked has left, nor if the peer has answered a later call: each
-// caller that leaves, or waits for tokens until its time is over, would keep all others from
-// their account's home for seconds.
-func (c *Client) callFor(ctx context.Context, patience time.Duration, address, method string, request, answer any) error {
-	client, err := c.client(address)
+// callWithTimeout makes a call that may take up to timeout. If the peer does not answer in time,
+// it is put in back-off and its connection is closed, which fails all other calls on it. That is
+// not done if ctx ended, or if the peer has answered another call meanwhile: a request whose
+// caller disconnects, or that waits for tokens until its deadline, would cut all other requests
+// off from their account's home for seconds.
+func (c *Client) callWithTimeout(ctx context.Context, timeout time.Duration, address, method string, request, answer any) error {
+	client, err := c.connect(address)
 	if err != nil {
-		c.avoid(address, nil)
+		c.recordFailure(address, nil)
 		return errors.Wrap(ErrNotSent, err.Error())
 	}
 	started := time.Now()
-	silent := time.NewTimer(patience)
-	defer silent.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	call := client.Go(serviceName+"."+method, request, answer, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
 		if call.Error != nil {
-			c.avoid(address, client)
+			c.recordFailure(address, client)
 			return errors.Wrap(ErrUnreachable, call.Error.Error())
 		}
-		c.noteAnswer(address)
+		c.recordAnswer(address)
 		return nil
-	case <-silent.C:
+	case <-timer.C:
 		if !c.answeredSince(address, started) {
-			c.avoid(address, client)
+			c.recordFailure(address, client)
 		}
 		return ErrUnreachable
 	case <-ctx.Done():
@@ -240,21 +241,22 @@
 	}
 }
 
-func (c *Client) noteAnswer(address string) {
+func (c *Client) recordAnswer(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answered[address] = time.Now()
+	c.lastAnswer[address] = time.Now()
 }
 
-func (c *Client) answeredSince(address string, start time.Time) bool {
+func (c *Client) answeredSince(address string, t time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.answered[address].After(start)
+	return c.lastAnswer[address].After(t)
 }
 
-func (c *Client) client(address string) (*rpc.Client, error) {
+// connect returns the open connection to a peer or a new one.
+func (c *Client) connect(address string) (*rpc.Client, error) {
 	c.mu.Lock()
-	client := c.clients[address]
+	client := c.connections[address]
 	c.mu.Unlock()
 	if client != nil {
 		return client, nil
@@ -266,31 +268,31 @@
 	client = rpc.NewClient(connection)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if other := c.clients[address]; other != nil {
-		_ = client.Close() // another goroutine was first; nothing was sent on this one
-		return other, nil
+	if existing := c.connections[address]; existing != nil {
+		_ = client.Close() // another goroutine connected first; nothing was sent on this one
+		return existing, nil
 	}
-	c.clients[address] = client
+	c.connections[address] = client
 	return client, nil
 }
 
-// CloseConnection drops the connection to a peer.
+// CloseConnection closes the connection to a peer, if there is one. Calls under way on it fail.
 func (c *Client) CloseConnection(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if client := c.clients[address]; client != nil {
-		delete(c.clients, address)
-		_ = client.Close() // what waits on it fails
+	if client := c.connections[address]; client != nil {
+		delete(c.connections, address)
+		_ = client.Close()
 	}
 }
 
-// avoid notes that a peer failed, and drops its connection: it may be silent.
-func (c *Client) avoid(address string, client *rpc.Client) {
+// recordFailure puts a peer in back-off and closes the connection, which may be dead.
+func (c *Client) recordFailure(address string, client *rpc.Client) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.avoided[address] = time.Now().Add(avoidFor)
-	if client != nil && c.clients[address] == client {
-		delete(c.clients, address)
-		_ = client.Close() // it has failed already
+	c.backoffUntil[address] = time.Now().Add(peerBackoff)
+	if client != nil && c.connections[address] == client {
+		delete(c.connections, address)
+		_ = client.Close() // the connection has failed already
 	}
 }
--- a/internal/peers/follow.go
+++ b/internal/peers/follow.go
@@ -9,40 +9,41 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// FollowRequest asks for what lies under a prefix of the store, or for what has changed.
+// FollowRequest asks for the store's items under a prefix, or for their changes.
 type FollowRequest struct {
 	Prefix string
-	// All asks for all items; else for the changes after After, which may be waited for.
-	All   bool
+	// All asks for all items, otherwise for the changes after After.
+	All bool
+	// After is the revision up to which the sender knows the store.
 	After store.Revision
-	Wait  time.Duration
-	// Unpacks: the answer may be compressed.
+	// Wait is how long the peer may wait for a change.
+	Wait time.Duration
+	// Unpacks: the sender accepts a compressed answer.
 	Unpacks bool
 }
 
-// FollowStatus says whether a FollowAnswer can be used.
+// FollowStatus is the status of a FollowAnswer.
 type FollowStatus int
 
-// Statuses of a FollowAnswer.
 const (
 	FollowOK        FollowStatus = iota
-	FollowNoFeed                 // the peer doesn't follow the store itself, or is behind
-	FollowCompacted              // the peer no longer has the changes from there on
+	FollowNoFeed                 // the peer doesn't follow the store itself, or is behind the sender
+	FollowCompacted              // the peer no longer has the changes after that revision
 )
 
-// FollowAnswer is what the peer knows from the store itself.
+// FollowAnswer contains what the peer has read from the store itself.
 type FollowAnswer struct {
 	Status   FollowStatus
 	Snapshot store.Snapshot
 	Changes  store.Changes
-	// Packed holds the items and changes of a large answer instead; Data is empty where none is
-	// compressed.
+	// Packed contains the items and changes of a large answer, which Snapshot and Changes then
+	// lack. Its Data is empty if the answer is not compressed.
 	Packed Packed
 }
 
 // Follow answers a peer that follows the store through this router.
 func (s *Service) Follow(request FollowRequest, answer *FollowAnswer) error {
-	feed := s.knowledge.Feed(request.Prefix)
+	feed := s.state.Feed(request.Prefix)
 	if feed == nil {
 		answer.Status = FollowNoFeed
 		return nil
@@ -51,13 +52,13 @@
 	if request.All {
 		answer.Snapshot, err = feed.Read(request.After)
 	} else {
-		answer.Changes, err = feed.Watch(context.Background(), request.After, min(request.Wait, followMost))
+		answer.Changes, err = feed.Watch(context.Background(), request.After, min(request.Wait, maxFollowWait))
 	}
 	switch {
 	case errors.Is(err, store.ErrCompacted):
 		answer.Status = FollowCompacted
 	case err != nil:
-		answer.Status = FollowNoFeed // it doesn't follow the store, or is behind: the peer asks elsewhere
+		answer.Status = FollowNoFeed // the sender then asks another router
 	}
 	if request.Unpacks {
 		return s.packer.pack(answer)
@@ -65,18 +66,19 @@
 	return nil
 }
 
-// followMost bounds how long an answer is held back.
-const followMost = 2 * time.Second
+// maxFollowWait bounds how long an answer is delayed while nothing changes.
+const maxFollowWait = 2 * time.Second
 
-// Follow asks one peer. Its errors are those of a store.Feed, or ErrUnreachable and
-// ErrNotSent.
+// Follow asks one peer for items or changes of the store. It returns store.ErrNoFeed or
+// store.ErrCompacted if the peer can't tell them, ErrUnreachable or ErrNotSent if the call
+// failed, and ErrCorruptAnswer if the answer can't be decompressed.
 func (c *Client) Follow(ctx context.Context, address string, request FollowRequest) (FollowAnswer, error) {
-	if c.avoiding(address) {
+	if c.inBackoff(address) {
 		return FollowAnswer{}, ErrUnreachable
 	}
 	answer := FollowAnswer{}
 	request.Unpacks = true
-	if err := c.callFor(ctx, callTimeout+request.Wait, address, "Follow", request, &answer); err != nil {
+	if err := c.callWithTimeout(ctx, callTimeout+request.Wait, address, "Follow", request, &answer); err != nil {
 		return FollowAnswer{}, err
 	}
 	switch answer.Status {
--- a/internal/peers/pack.go
+++ b/internal/peers/pack.go
@@ -14,26 +14,27 @@
 )
 
 const (
-	// packLeast is the size in bytes from which an answer is compressed. A configuration of a
-	// few hundred KB fills the link of a small VM for longer than its reader waits.
-	packLeast = 8 << 10
-	// packedKept is how many compressed answers are kept: many followers ask for the same.
-	packedKept = 4
-	// unpackedMost bounds what an answer may hold, in bytes.
-	unpackedMost = 64 << 20
+	// minPackBytes is the size from which an answer is compressed. A configuration of a few
+	// hundred KB would occupy the link of a small VM for longer than its reader waits.
+	minPackBytes = 8 << 10
+	// maxCachedPacks is how many compressed answers are cached: many followers ask for the same
+	// content.
+	maxCachedPacks = 4
+	// maxUnpackedBytes bounds the decompressed size of an answer.
+	maxUnpackedBytes = 64 << 20
 )
 
-// ErrCorruptAnswer: a compressed answer can't be read.
-var ErrCorruptAnswer = errors.New("peers: compressed answer spoiled")
+// ErrCorruptAnswer: a compressed answer can't be decompressed or decoded.
+var ErrCorruptAnswer = errors.New("peers: compressed answer is corrupt")
 
-// Packed is the compressed items or changes of a FollowAnswer.
+// Packed contains the items or changes of a FollowAnswer in compressed form.
 type Packed struct {
 	Data []byte
-	// Digest is of Data.
+	// Digest is the xxHash of Data.
 	Digest uint64
 }
 
-// packedContent is what Packed holds.
+// packedContent is the decompressed content of a Packed.
 type packedContent struct {
 	Items  []store.Item
 	Events []store.Event
@@ -41,60 +42,60 @@
 
 // packer compresses answers. It is safe for concurrent use.
 type packer struct {
-	mu   sync.Mutex
-	kept []keptPack // the last used comes last
+	mu    sync.Mutex
+	cache []cachedPack // oldest first
 }
 
-type keptPack struct {
-	content uint64
-	packed  Packed
+type cachedPack struct {
+	contentSum uint64
+	packed     Packed
 }
 
-// pack compresses a large answer in place; a small one stays as it is.
+// pack compresses an answer of minPackBytes or more in place.
 func (p *packer) pack(answer *FollowAnswer) error {
 	content := packedContent{Items: answer.Snapshot.Items, Events: answer.Changes.Events}
-	size, sum := content.measure()
-	if size < packLeast {
+	size, sum := content.sizeAndSum()
+	if size < minPackBytes {
 		return nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	packed, found := p.find(sum)
+	packed, found := p.lookup(sum)
 	if !found {
 		var err error
 		if packed, err = content.pack(); err != nil {
 			return err
 		}
-		p.keep(keptPack{content: sum, packed: packed})
+		p.add(cachedPack{contentSum: sum, packed: packed})
 	}
 	answer.Packed = packed
 	answer.Snapshot.Items, answer.Changes.Events = nil, nil
 	return nil
 }
 
-func (p *packer) find(sum uint64) (Packed, bool) {
-	for _, k := range p.kept {
-		if k.content == sum {
-			return k.packed, true
+func (p *packer) lookup(sum uint64) (Packed, bool) {
+	for _, c := range p.cache {
+		if c.contentSum == sum {
+			return c.packed, true
 		}
 	}
 	return Packed{}, false
 }
 
-func (p *packer) keep(k keptPack) {
-	p.kept = append(p.kept, k)
-	if len(p.kept) > packedKept {
-		p.kept = p.kept[1:]
+func (p *packer) add(c cachedPack) {
+	p.cache = append(p.cache, c)
+	if len(p.cache) > maxCachedPacks {
+		p.cache = p.cache[1:]
 	}
 }
 
-// measure returns the size in bytes, and a sum of what is in it: an item is the same as
-// long as its revision is.
-func (c packedContent) measure() (size int, sum uint64) {
+// sizeAndSum returns the size in bytes and a hash of the content. Values are not hashed: an item
+// does not change without a new revision.
+func (c packedContent) sizeAndSum() (size int, sum uint64) {
 	h := xxhash.New()
 	add := func(item store.Item, deleted byte) {
 		size += len(item.Key) + len(item.Value)
-		_, _ = h.WriteString(item.Key) // a hash takes everything
+		_, _ = h.WriteString(item.Key) // never fails
 		_, _ = h.Write([]byte{deleted, byte(item.Revision), byte(item.Revision >> 8), byte(item.Revision >> 16), byte(item.Revision >> 24),
 			byte(item.Revision >> 32), byte(item.Revision >> 40), byte(item.Revision >> 48), byte(item.Revision >> 56)})
 	}
@@ -127,17 +128,17 @@
 	return Packed{Data: data.Bytes(), Digest: xxhash.Sum64(data.Bytes())}, nil
 }
 
-// unpack puts the items or changes of a compressed answer back.
+// unpack decompresses an answer in place.
 func (a *FollowAnswer) unpack() error {
 	if len(a.Packed.Data) == 0 {
 		return nil
 	}
 	if xxhash.Sum64(a.Packed.Data) != a.Packed.Digest {
-		return errors.Wrap(ErrCorruptAnswer, "digest")
+		return errors.Wrap(ErrCorruptAnswer, "digest mismatch")
 	}
 	content := packedContent{}
 	r := flate.NewReader(bytes.NewReader(a.Packed.Data))
-	if err := gob.NewDecoder(io.LimitReader(r, unpackedMost)).Decode(&content); err != nil {
+	if err := gob.NewDecoder(io.LimitReader(r, maxUnpackedBytes)).Decode(&content); err != nil {
 		return errors.Wrap(ErrCorruptAnswer, err.Error())
 	}
 	a.Snapshot.Items, a.Changes.Events, a.Packed = content.Items, content.Events, Packed{}
--- a/internal/peers/pack_test.go
+++ b/internal/peers/pack_test.go
@@ -116,7 +116,7 @@
 		c.Assert(fmt.Sprint(a.Snapshot.Items), qt.Equals, items)
 		c.Assert(fmt.Sprint(a.Changes.Events), qt.Equals, events)
 	})
-	qt.Assert(t, len(p.kept) <= packedKept, qt.IsTrue)
+	qt.Assert(t, len(p.cache) <= maxCachedPacks, qt.IsTrue)
 }
 
 // Guards against a spoiled or cut answer that is taken for an empty one.
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -1,5 +1,6 @@
-// Package peers is the talk between routers: loans of granted tokens while the
-// store can't be reached, and what a router that starts then needs to know.
+// Package peers implements the calls between routers: loans and transfers of granted tokens, the
+// state that a router needs to start while the store is unreachable, and reading the store
+// through another router.
 package peers
 
 import (
@@ -10,18 +11,16 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// serviceName is the name of the RPC service.
 const serviceName = "Router"
 
-// TransferID names one loan or one handing-over among all routers' for ever.
+// TransferID identifies a loan or a gift. It is unique among all routers and never reused.
 type TransferID struct {
-	Incarnation string // of the router that asked or gives
+	Incarnation string // of the router that borrows or gives
 	Serial      uint64
 }
 
-// Clock is the Lamport clock of this process's log. Messages carry it, so that the
-// logs of several routers can be merged in causal order however wrong their VMs' times
-// of day are.
+// Clock is the Lamport clock of this process's log. Messages carry its value, so that the logs of
+// several routers can be merged in causal order even if the clocks of their VMs disagree.
 type Clock interface {
 	Tick() uint64
 	Observe(remote uint64)
@@ -32,93 +31,97 @@
 	ID      TransferID
 	Account string
 	Tokens  int64
-	// Waiter names the request in the line that forms while the store is away; empty:
-	// only what nobody waits for is asked for.
+	// Waiter names the request in the account's queue. If it is empty, only tokens that no
+	// queued request waits for are lent.
 	Waiter string
 	Clock  uint64
 }
 
-// Loan is what the peer gives; it has counted that as used by itself.
+// Loan is the answer to a LoanRequest; its fields are those of escrow.Loan. The lender counts the
+// tokens as used.
 type Loan struct {
 	Tokens int64
-	// Used is the tokens that the peer has spent or reserved, without the loan.
+	// Used is the number of tokens that the lender has spent, reserved or lent before, less those
+	// that it borrowed.
 	Used int64
-	// Spent is what the peer has surely spent and lent, with the loan, without what it borrowed.
+	// Spent is the number of tokens that the lender has spent or lent, including this loan, less
+	// those that it borrowed and those that it lent shortly before, which may be returned unused.
 	Spent int64
-	// Short says why the loan is not all that was asked for.
+	// Short is the reason why Tokens is less than was asked for.
 	Short escrow.Shortage
 	Clock uint64
 }
 
-// Gift is tokens by account that a router has no use for.
+// Gift contains granted tokens that a router no longer needs.
 type Gift struct {
 	ID     TransferID
-	Tokens map[string]int64
+	Tokens map[string]int64 // by account
 	Clock  uint64
 }
 
-// GiftAnswer says what became of a gift.
+// GiftAnswer is the answer to a Gift.
 type GiftAnswer struct {
-	// Refused: the peer took nothing of it, and never will.
+	// Refused: the peer took none of the tokens, and never will.
 	Refused bool
 }
 
-// KnownRequest asks for what the peer knows.
+// KnownRequest asks for the state that a router needs to start.
 type KnownRequest struct{}
 
-// Known is the peer's knowledge as it was in the store.
+// Known contains items of the store as the peer last read them.
 type Known struct {
-	// Limits are the records of the limits that backend servers named.
+	// Limits are the records of rate limits that backend servers set.
 	Limits  []store.Item
 	Config  []store.Item
 	Servers []store.Item
 	Members []store.Item
 }
 
-// Lender gives granted tokens away.
+// Lender lends granted tokens to other routers and takes tokens from them.
 type Lender interface {
-	// Lend takes up to tokens out of what is available or, for a waiter, can be drawn.
-	Lend(account string, tokens int64, waiter string) escrow.Loan
-	// TakeBack undoes a loan that its borrower never got.
+	// Lend lends up to the given number of tokens. For a waiterID it draws tokens if needed.
+	Lend(account string, tokens int64, waiterID string) escrow.Loan
+	// TakeBack undoes a loan that the borrower did not receive.
 	TakeBack(account string, tokens int64)
-	// Accept takes tokens that another router hands over; false: none of them.
+	// Accept takes tokens that another router hands over. It returns false if it took none.
 	Accept(tokens map[string]int64) bool
 }
 
 // StateSource provides the state that this router serves to its peers.
 type StateSource interface {
-	// Known is all of it, for a router that starts.
+	// Known returns the state that another router needs to start.
 	Known() Known
-	// Feed is what this router follows in the store under a prefix; nil if it doesn't.
+	// Feed returns the feed of the store's items under a prefix, or nil if this router has none.
 	Feed(prefix string) *store.Feed
 }
 
-// Service is what peers call.
+// Service is the RPC service that peers call.
 type Service struct {
 	lender    Lender
-	knowledge StateSource
+	state     StateSource
 	clock     Clock
 	transfers *transfers
 	packer    packer
 }
 
-// Lend gives a loan.
+// Lend lends tokens to the peer.
 func (s *Service) Lend(request LoanRequest, loan *Loan) error {
 	s.clock.Observe(request.Clock)
 	defer func() { loan.Clock = s.clock.Tick() }()
-	if s.transfers.voided(request.ID) {
-		return nil // its borrower gave up on it
+	if s.transfers.isVoided(request.ID) {
+		return nil // the borrower has given up on it
 	}
-	given := s.lender.Lend(request.Account, request.Tokens, request.Waiter)
-	loan.Tokens, loan.Used, loan.Spent, loan.Short = given.Tokens, given.Used, given.Spent, given.Short
-	if !s.transfers.lent(request.ID, request.Account, loan.Tokens) {
+	result := s.lender.Lend(request.Account, request.Tokens, request.Waiter)
+	loan.Tokens, loan.Used, loan.Spent, loan.Short = result.Tokens, result.Used, result.Spent, result.Short
+	if !s.transfers.recordLoan(request.ID, request.Account, loan.Tokens) {
 		s.lender.TakeBack(request.Account, loan.Tokens)
 		loan.Tokens = 0
 	}
 	return nil
 }
 
-// Void undoes a loan whose answer was lost, whether it was given yet or not.
+// Void undoes a loan whose answer was lost. If the loan has not been asked for here yet, it will
+// not be given.
 func (s *Service) Void(id TransferID, _ *struct{}) error {
 	if account, tokens := s.transfers.void(id); tokens > 0 {
 		s.lender.TakeBack(account, tokens)
@@ -126,32 +129,32 @@
 	return nil
 }
 
-// HandOver takes tokens that the peer has no use for. It is idempotent.
+// HandOver takes tokens that the peer no longer needs. It is idempotent.
 func (s *Service) HandOver(gift Gift, answer *GiftAnswer) error {
 	s.clock.Observe(gift.Clock)
-	if s.transfers.first(gift.ID) {
+	if s.transfers.recordGift(gift.ID) {
 		answer.Refused = !s.lender.Accept(gift.Tokens)
 	}
 	return nil
 }
 
-// Known tells what this router knows.
+// Known returns the state that the peer needs to start.
 func (s *Service) Known(_ KnownRequest, known *Known) error {
-	*known = s.knowledge.Known()
+	*known = s.state.Known()
 	return nil
 }
 
-// Serve answers peers until the listener is closed.
-func Serve(l net.Listener, lender Lender, knowledge StateSource, clock Clock) error {
+// Serve answers peers until the listener is closed, and returns the listener's error.
+func Serve(l net.Listener, lender Lender, state StateSource, clock Clock) error {
 	server := rpc.NewServer()
-	if err := server.RegisterName(serviceName, &Service{lender: lender, knowledge: knowledge, clock: clock, transfers: newTransfers()}); err != nil {
+	if err := server.RegisterName(serviceName, &Service{lender: lender, state: state, clock: clock, transfers: newTransfers()}); err != nil {
 		return err
 	}
 	for {
-		connection, err := l.Accept()
+		conn, err := l.Accept()
 		if err != nil {
 			return err
 		}
-		go server.ServeConn(connection) // ends with its connection
+		go server.ServeConn(conn) // returns when the peer disconnects
 	}
 }
--- a/internal/peers/silence_test.go
+++ b/internal/peers/silence_test.go
@@ -64,7 +64,7 @@
 	<-h.asked
 	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, "other").Tokens, qt.Equals, int64(5))
 	qt.Assert(t, (<-late).Short, qt.Equals, escrow.PeerUnreachable)
-	qt.Assert(t, c.avoiding(home), qt.IsFalse)
+	qt.Assert(t, c.inBackoff(home), qt.IsFalse)
 	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, "next").Tokens, qt.Equals, int64(5))
 }
 
@@ -75,5 +75,5 @@
 	c := NewClient("p1", func() []string { return nil }, event.Discard())
 	go func() { <-h.asked }()
 	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, heldWaiter).Short, qt.Equals, escrow.PeerUnreachable)
-	qt.Assert(t, c.avoiding(home), qt.IsTrue)
+	qt.Assert(t, c.inBackoff(home), qt.IsTrue)
 }
--- a/internal/peers/transfers.go
+++ b/internal/peers/transfers.go
@@ -5,82 +5,84 @@
 	"time"
 )
 
-// transferKept is how long a transfer is remembered: far longer than a peer goes on
-// trying to settle one whose answer was lost.
-const transferKept = time.Minute
+// transferRetention is how long a transfer is remembered. It must exceed the settleTimeout of
+// the peer, which repeats transfers whose answers were lost.
+const transferRetention = time.Minute
 
-// transfers remembers recent loans and gifts, so that one whose answer was lost is
-// undone or taken once: without that each lost answer loses tokens to the budget.
+// transfers records recent loans and gifts, so that a loan whose answer was lost can be taken
+// back and a repeated gift counts once. Without it, each lost answer would lose tokens of the
+// budget.
 type transfers struct {
-	mu      sync.Mutex
-	known   map[TransferID]*transfer
-	cleaned time.Time
+	mu          sync.Mutex
+	byID        map[TransferID]*transfer
+	lastCleanup time.Time
 }
 
 type transfer struct {
-	at      time.Time
-	account string
-	tokens  int64 // lent and not taken back
-	void    bool
+	updatedAt time.Time
+	account   string
+	tokens    int64 // of a loan that was not voided
+	voided    bool
 }
 
 func newTransfers() *transfers {
-	return &transfers{known: make(map[TransferID]*transfer), cleaned: time.Now()}
+	return &transfers{byID: make(map[TransferID]*transfer), lastCleanup: time.Now()}
 }
 
-// voided says whether a loan was given up before it was asked for here: calls of
-// two connections may overtake each other.
-func (t *transfers) voided(id TransferID) bool {
+// isVoided reports whether a loan was voided before it was asked for: calls on two connections
+// may overtake each other.
+func (t *transfers) isVoided(id TransferID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.known[id]
-	return known != nil && known.void
+	tr := t.byID[id]
+	return tr != nil && tr.voided
 }
 
-// lent notes a loan; false if it was voided meanwhile.
-func (t *transfers) lent(id TransferID, account string, tokens int64) bool {
+// recordLoan records a loan. It returns false if the loan was voided meanwhile.
+func (t *transfers) recordLoan(id TransferID, account string, tokens int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if known := t.known[id]; known != nil && known.void {
+	if tr := t.byID[id]; tr != nil && tr.voided {
 		return false
 	}
-	t.note(id, &transfer{account: account, tokens: tokens})
+	t.record(id, &transfer{account: account, tokens: tokens})
 	return true
 }
 
-// void marks a loan as given up and returns what was lent under it.
+// void marks a loan as voided and returns its account and tokens, if it had been recorded.
 func (t *transfers) void(id TransferID) (account string, tokens int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if known := t.known[id]; known != nil {
-		account, tokens = known.account, known.tokens
+	if tr := t.byID[id]; tr != nil {
+		account, tokens = tr.account, tr.tokens
 	}
-	t.note(id, &transfer{void: true})
+	t.record(id, &transfer{voided: true})
 	return account, tokens
 }
 
-// first says whether a gift comes for the first time, and notes it.
-func (t *transfers) first(id TransferID) bool {
+// recordGift records a gift. It returns false if the gift was recorded before.
+func (t *transfers) recordGift(id TransferID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.known[id] != nil {
+	if t.byID[id] != nil {
 		return false
 	}
-	t.note(id, &transfer{})
+	t.record(id, &transfer{})
 	return true
 }
 
-func (t *transfers) note(id TransferID, transfer *transfer) {
+// record sets the state of a transfer, and from time to time removes old transfers.
+func (t *transfers) record(id TransferID, tr *transfer) {
 	now := time.Now()
-	transfer.at = now
-	t.known[id] = transfer
-	if now.Sub(t.cleaned) < transferKept {
+	tr.updatedAt = now
+	t.byID[id] = tr
+	if now.Sub(t.lastCleanup) < transferRetention {
 		return
 	}
-	t.cleaned = now
-	for old, known := range t.known {
-		if now.Sub(known.at) > transferKept {
-			delete(t.known, old)
+	t.lastCleanup = now
+	for oldID, old := range t.byID {
+		if now.Sub(old.updatedAt) > transferRetention {
+			delete(t.byID, oldID)
 		}
 	}
 }
