--- a/internal/callers/caller.go
+++ b/internal/callers/caller.go
@@ -13,7 +13,7 @@
 // caller writes one answer; it implements forward.Caller.
 type caller struct {
 	w       http.ResponseWriter
-	dialect Dialect
+	dialect Protocol
 	request *request.Request
 	head    bool
 	// aborted: the answer must not look complete.
@@ -52,8 +52,8 @@
 	forward.BackendFailed:      http.StatusBadGateway,
 }
 
-// StatusOf is the status of the router's own answer for a cause.
-func StatusOf(cause forward.Cause) int {
+// StatusCode is the status of the router's own answer for a cause.
+func StatusCode(cause forward.Cause) int {
 	return statuses[cause]
 }
 
@@ -120,7 +120,7 @@
 func (c *caller) copyHeaders(header http.Header) {
 	own := c.w.Header()
 	for name, values := range header {
-		if !oneConnection[name] && !c.dialect.Withheld[name] {
+		if !oneConnection[name] && !c.dialect.StrippedHeaders[name] {
 			own[name] = values
 		}
 	}
--- a/internal/callers/caller_test.go
+++ b/internal/callers/caller_test.go
@@ -17,6 +17,6 @@
 	causes := regexp.MustCompile(`Cause = "([a-z_]+)"`).FindAllSubmatch(source, -1)
 	qt.Assert(t, len(causes) > 20, qt.IsTrue, qt.Commentf("%d causes found", len(causes)))
 	for _, cause := range causes {
-		qt.Check(t, StatusOf(forward.Cause(cause[1])) >= 400, qt.IsTrue, qt.Commentf("%s", cause[1]))
+		qt.Check(t, StatusCode(forward.Cause(cause[1])) >= 400, qt.IsTrue, qt.Commentf("%s", cause[1]))
 	}
 }
--- a/internal/callers/front.go
+++ b/internal/callers/front.go
@@ -20,12 +20,12 @@
 type Router struct {
 	Serve forward.ServeFunc
 	// Refuse answers a request that is not to be served at all.
-	Refuse    func(r *request.Request, caller forward.Caller, refusal forward.Refusal)
-	BodyLimit func() int64 // bytes; 0: none
-	// Closing says whether this process stops, so that callers should not use the
+	Refuse       func(r *request.Request, caller forward.Caller, refusal forward.Refusal)
+	MaxBodyBytes func() int64 // bytes; 0: none
+	// ShuttingDown says whether this process stops, so that callers should not use the
 	// connection again.
-	Closing func() bool
-	Policy  func() *policy.Policy // nil until one is known
+	ShuttingDown func() bool
+	Policy       func() *policy.Policy // nil until one is known
 	// Resolve names the routers for a caller in a failure domain; caller tells callers
 	// apart.
 	Resolve func(domain, caller string) []string
@@ -33,32 +33,32 @@
 	EntryTTL time.Duration
 }
 
-// Dialect is what one interface for callers has of its own.
-type Dialect struct {
+// Protocol is what one interface for callers has of its own.
+type Protocol struct {
 	// Decode makes a request of what a caller sent. If it gives a refusal, the request
 	// has its id at least.
 	Decode func(hr *http.Request, body []byte, arrived time.Time, p *policy.Policy) (*request.Request, *forward.Refusal)
-	// RequestID is the header of an answer that names the request.
-	RequestID string
-	// Withheld are headers of a server's answer that callers don't get, beside those
+	// RequestIDHeader is the header of an answer that names the request.
+	RequestIDHeader string
+	// StrippedHeaders are headers of a server's answer that callers don't get, beside those
 	// that concern one connection only.
-	Withheld map[string]bool
+	StrippedHeaders map[string]bool
 	// RefusalBody is the JSON that tells a refusal.
 	RefusalBody func(refusal forward.Refusal, r *request.Request) []byte
 }
 
-// Front serves callers of a dialect.
-func Front(d Dialect, router Router) http.Handler {
+// NewHandler serves callers of a dialect.
+func NewHandler(d Protocol, router Router) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, hr *http.Request) {
 		arrived := time.Now()
 		answer := &caller{w: w, dialect: d, head: hr.Method == http.MethodHead}
-		if router.Closing() {
+		if router.ShuttingDown() {
 			w.Header().Set("Connection", "close")
 		}
-		body, err := readBody(w, hr, router.BodyLimit())
+		body, err := readBody(w, hr, router.MaxBodyBytes())
 		r, refusal := d.Decode(hr, body, arrived, router.Policy())
 		answer.request = r
-		w.Header().Set(d.RequestID, r.ID)
+		w.Header().Set(d.RequestIDHeader, r.ID)
 		switch {
 		case tooLong(err):
 			router.Refuse(r, answer, forward.Refusal{Cause: forward.BodyTooLarge})
@@ -97,9 +97,9 @@
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true, "Proxy-Authorization": true,
 }
 
-// PassedOn lists the headers that a backend server gets as the caller sent them: all
+// ForwardedHeaders lists the headers that a backend server gets as the caller sent them: all
 // but those of one connection and those that withheld says.
-func PassedOn(header http.Header, withheld func(name string) bool, kept func(name string) bool) []request.HeaderField {
+func ForwardedHeaders(header http.Header, withheld func(name string) bool, kept func(name string) bool) []request.HeaderField {
 	oneHop := map[string]bool{}
 	for _, value := range header["Connection"] {
 		for _, name := range strings.Split(value, ",") {
@@ -118,8 +118,8 @@
 	return fields
 }
 
-// HostOf is the IP number that a request came from.
-func HostOf(hr *http.Request) string {
+// ClientIP is the IP number that a request came from.
+func ClientIP(hr *http.Request) string {
 	host, _, err := net.SplitHostPort(hr.RemoteAddr)
 	if err != nil {
 		return hr.RemoteAddr // not a socket's: a test's
@@ -127,8 +127,8 @@
 	return host
 }
 
-// Ready answers the question whether callers should come, at one path.
-func Ready(path string, ready func() bool) http.Handler {
+// ReadyHandler answers the question whether callers should come, at one path.
+func ReadyHandler(path string, ready func() bool) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
 		if !ready() {
@@ -138,8 +138,8 @@
 	return mux
 }
 
-// BearerKey returns the API key of an Authorization header, empty if it has none.
-func BearerKey(value string) string {
+// BearerToken returns the API key of an Authorization header, empty if it has none.
+func BearerToken(value string) string {
 	scheme, key, found := strings.Cut(value, " ")
 	if !found || !strings.EqualFold(scheme, "Bearer") {
 		return ""
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -57,7 +57,7 @@
 	t.Helper()
 	var invalid *ValidationError
 	qt.Assert(t, errors.As(err, &invalid), qt.IsTrue, qt.Commentf("%s: %v", field, err))
-	for _, fault := range invalid.Faults {
+	for _, fault := range invalid.FieldErrors {
 		if fault.Field == field {
 			qt.Assert(t, fault.Want, qt.Not(qt.Equals), "")
 			return
--- a/internal/contract/validate.go
+++ b/internal/contract/validate.go
@@ -18,8 +18,8 @@
 	MaxBurst             = 1_000_000
 	MaxConcurrency       = 1_000_000
 	MaxPriority          = 9
-	MaxTokensOfRequest   = id.Tokens(100_000_000)
-	MaxWindowMS          = int64(24 * 60 * 60 * 1000)
+	MaxRequestTokens     = id.Tokens(100_000_000)
+	MaxTimeoutMS         = int64(24 * 60 * 60 * 1000)
 	MaxBytesPerToken     = 1024
 	MaxPricePerCall      = id.Tokens(1_000_000_000)
 	MaxPrepaid           = id.Tokens(1_000_000_000_000_000)
@@ -65,8 +65,8 @@
 	f.require(within(c.Burst, 1, MaxBurst), "burst", "1 to 1000000", c.Burst)
 	f.require(within(c.Concurrency, 1, MaxConcurrency), "concurrency", "1 to 1000000", c.Concurrency)
 	f.require(within(c.Priority, 0, MaxPriority), "priority", "0 (lowest) to 9 (highest)", c.Priority)
-	f.require(within(c.MaxTokens, 1, MaxTokensOfRequest), "max_tokens", "1 to 100000000", c.MaxTokens)
-	f.require(within(c.DeadlineMS, 1, MaxWindowMS), "deadline_ms", wantWindow, c.DeadlineMS)
+	f.require(within(c.MaxTokens, 1, MaxRequestTokens), "max_tokens", "1 to 100000000", c.MaxTokens)
+	f.require(within(c.DeadlineMS, 1, MaxTimeoutMS), "deadline_ms", wantWindow, c.DeadlineMS)
 	f.require(len(c.Models)+len(c.Services) > 0, "models",
 		"at least one model, or services at least one service", c.Models)
 	checkNames(&f, "models", c.Models)
@@ -110,7 +110,7 @@
 	var f faults
 	f.require(ValidName(string(s.Name)), "name", wantName, s.Name)
 	f.require(within(s.PricePerCall, 0, MaxPricePerCall), "price_per_call", "0 to 1000000000", s.PricePerCall)
-	f.require(within(s.TimeoutMS, 1, MaxWindowMS), "timeout_ms", wantWindow, s.TimeoutMS)
+	f.require(within(s.TimeoutMS, 1, MaxTimeoutMS), "timeout_ms", wantWindow, s.TimeoutMS)
 	for i, call := range s.NonIdempotent {
 		f.require(callPattern.MatchString(call) && !strings.Contains(call, ".."),
 			fmt.Sprintf("non_idempotent[%d]", i), `"METHOD /path-prefix" or "* /path-prefix"`, call)
@@ -124,7 +124,7 @@
 	var f faults
 	f.require(ValidName(string(m.Name)), "name", wantName, m.Name)
 	f.require(within(m.BytesPerToken, 1, MaxBytesPerToken), "bytes_per_token", "1 to 1024", m.BytesPerToken)
-	f.require(within(m.ContextTokens, 1, MaxTokensOfRequest), "context_tokens", "1 to 100000000", m.ContextTokens)
+	f.require(within(m.ContextTokens, 1, MaxRequestTokens), "context_tokens", "1 to 100000000", m.ContextTokens)
 	f.require(within(m.TokensPerEvent, 1, MaxTokensPerEvent), "tokens_per_event", "1 to 1024", m.TokensPerEvent)
 	f.require(within(m.Attempts, 1, MaxAttempts), "attempts", wantAttempts, m.Attempts)
 	return f.asError("model", string(m.Name))
--- a/internal/ctl/app.go
+++ b/internal/ctl/app.go
@@ -107,7 +107,7 @@
 		return ExitNotFound
 	case errors.Is(err, operate.ErrRaced):
 		return ExitConflict
-	case errors.Is(err, operate.ErrInvalid), errors.Is(err, native.ErrDocument):
+	case errors.Is(err, operate.ErrInvalid), errors.Is(err, native.ErrInvalidDocument):
 		return ExitInvalid
 	case errors.Is(err, store.ErrOutcomeUnknown):
 		return ExitNotYetKnown
--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -11,10 +11,10 @@
 	"github.com/pkg/errors"
 )
 
-// MaxEvent bounds the bytes of one event.
-const MaxEvent = 1 << 20
+// MaxEventBytes bounds the bytes of one event.
+const MaxEventBytes = 1 << 20
 
-// ErrTooLarge: an event is larger than MaxEvent.
+// ErrTooLarge: an event is larger than MaxEventBytes.
 var ErrTooLarge = errors.New("eventstream: event too large")
 
 // Event is one event as it was sent, with its closing empty line.
@@ -65,7 +65,7 @@
 	for {
 		part, err := r.r.ReadSlice('\n')
 		r.buf = append(r.buf, part...)
-		if len(r.buf) > MaxEvent {
+		if len(r.buf) > MaxEventBytes {
 			return ErrTooLarge
 		}
 		if err != bufio.ErrBufferFull {
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -45,7 +45,7 @@
 
 // A server that never ends its event can't fill the memory.
 func TestEventIsBounded(t *testing.T) {
-	_, err := read("data: " + strings.Repeat("x", MaxEvent))
+	_, err := read("data: " + strings.Repeat("x", MaxEventBytes))
 	qt.Assert(t, err, qt.Equals, ErrTooLarge)
 }
 
--- a/internal/native/backends.go
+++ b/internal/native/backends.go
@@ -61,9 +61,9 @@
 	return data
 }
 
-// EntriesOf makes the entries of a backend server, by their keys: one for each model
+// BackendEntries makes the entries of a backend server, by their keys: one for each model
 // of an engine, one for an instance of a service.
-func EntriesOf(b contract.BackendServer) map[string][]byte {
+func BackendEntries(b contract.BackendServer) map[string][]byte {
 	services := make([]string, 0, len(b.Models)+1)
 	for _, model := range b.Models {
 		services = append(services, modelService(model))
@@ -79,21 +79,21 @@
 	return entries
 }
 
-// ParseBackend reads a stored entry.
-func ParseBackend(item store.Item) (BackendEntry, error) {
+// ParseBackendEntry reads a stored entry.
+func ParseBackendEntry(item store.Item) (BackendEntry, error) {
 	e := BackendEntry{}
 	if err := json.Unmarshal(item.Value, &e); err != nil {
-		return BackendEntry{}, errors.Wrapf(ErrDocument, "%s: %v", item.Key, err)
+		return BackendEntry{}, errors.Wrapf(ErrInvalidDocument, "%s: %v", item.Key, err)
 	}
 	if e.ID == "" || e.Service == "" || e.Address == "" {
-		return BackendEntry{}, errors.Wrapf(ErrDocument, "%s: no id, service or address", item.Key)
+		return BackendEntry{}, errors.Wrapf(ErrInvalidDocument, "%s: no id, service or address", item.Key)
 	}
 	return e, nil
 }
 
-// DecodeBackend makes a registry's entry of a stored one.
-func DecodeBackend(item store.Item) (fleet.Entry, error) {
-	e, err := ParseBackend(item)
+// DecodeServer makes a registry's entry of a stored one.
+func DecodeServer(item store.Item) (fleet.Entry, error) {
+	e, err := ParseBackendEntry(item)
 	if err != nil {
 		return fleet.Entry{}, err
 	}
--- a/internal/native/decode.go
+++ b/internal/native/decode.go
@@ -63,7 +63,7 @@
 }
 
 func keyOf(hr *http.Request) string {
-	return string(contract.HashKey(callers.BearerKey(hr.Header.Get("Authorization"))))
+	return string(contract.HashKey(callers.BearerToken(hr.Header.Get("Authorization"))))
 }
 
 // hashOf tells one request from another under the same idempotency key.
--- a/internal/native/dialect.go
+++ b/internal/native/dialect.go
@@ -19,10 +19,10 @@
 		DecodeConfig:     DecodeConfig,
 		EvacuatedDomain:  EvacuatedDomain,
 		ServersPrefix:    BackendsPrefix,
-		DecodeServer:     fleet.DecodeEntry(DecodeBackend),
+		DecodeServer:     fleet.DecodeEntry(DecodeServer),
 		Codec:            Codec,
-		CallerHandler:    Front(s, log),
-		DirectoryHandler: Directory,
-		ReadyHandler:     Ready,
+		CallerHandler:    CallerHandler(s, log),
+		DirectoryHandler: DirectoryHandler,
+		ReadyHandler:     ReadyHandler,
 	}
 }
--- a/internal/native/document.go
+++ b/internal/native/document.go
@@ -30,26 +30,26 @@
 	claimsPrefix = "chicory-claim/"
 )
 
-// ErrDocument: the operators' document or a backend server's entry can't be used.
-var ErrDocument = errors.New("native: unusable document")
+// ErrInvalidDocument: the operators' document or a backend server's entry can't be used.
+var ErrInvalidDocument = errors.New("native: unusable document")
 
 // Document is all that operators configure. A change replaces it whole.
 type Document struct {
-	Version   int64               `json:"version"`    // grows with each change
-	BodyBytes int64               `json:"body_bytes"` // most of one request; 0: bodyBytesDefault
-	Models    []contract.Model    `json:"models"`
-	Services  []contract.Service  `json:"services"`
-	Contracts []contract.Contract `json:"contracts"`
+	Version      int64               `json:"version"`    // grows with each change
+	MaxBodyBytes int64               `json:"body_bytes"` // most of one request; 0: bodyBytesDefault
+	Models       []contract.Model    `json:"models"`
+	Services     []contract.Service  `json:"services"`
+	Contracts    []contract.Contract `json:"contracts"`
 }
 
 // ParseDocument reads and checks a document. Its error names the object and field.
 func ParseDocument(data []byte) (*Document, error) {
 	d := &Document{}
 	if err := json.Unmarshal(data, d); err != nil {
-		return nil, errors.Wrap(ErrDocument, err.Error())
+		return nil, errors.Wrap(ErrInvalidDocument, err.Error())
 	}
 	if err := d.Validate(); err != nil {
-		return nil, errors.Wrap(ErrDocument, err.Error())
+		return nil, errors.Wrap(ErrInvalidDocument, err.Error())
 	}
 	return d, nil
 }
@@ -140,8 +140,8 @@
 			Models: map[id.Model]contract.Model{}, Services: map[id.Service]contract.Service{},
 		},
 	}
-	if d.BodyBytes > 0 {
-		definition.Limits.MaxBodyBytes = d.BodyBytes
+	if d.MaxBodyBytes > 0 {
+		definition.Limits.MaxBodyBytes = d.MaxBodyBytes
 	}
 	for _, m := range d.Models {
 		definition.Catalogue.Models[m.Name] = m
--- a/internal/native/front.go
+++ b/internal/native/front.go
@@ -29,29 +29,29 @@
 	headerIdempotent     = "X-Idempotent" // "false": this call must not be repeated
 )
 
-// Front makes the callers' listener. Claims of idempotency keys are kept in s.
-func Front(s store.Store, log *event.Log) func(callers.Router) http.Handler {
+// CallerHandler makes the callers' listener. Claims of idempotency keys are kept in s.
+func CallerHandler(s store.Store, log *event.Log) func(callers.Router) http.Handler {
 	guard := &idempotency.Guard{Store: s, Prefix: claimsPrefix, Log: log}
 	return func(router callers.Router) http.Handler {
 		router.Serve = guard.Wrap(router.Serve)
-		dialect := callers.Dialect{
-			Decode:      decode,
-			RequestID:   HeaderRequestID,
-			Withheld:    map[string]bool{HeaderLoad: true, HeaderOutput: true},
-			RefusalBody: refusalBody,
+		dialect := callers.Protocol{
+			Decode:          decode,
+			RequestIDHeader: HeaderRequestID,
+			StrippedHeaders: map[string]bool{HeaderLoad: true, HeaderOutput: true},
+			RefusalBody:     refusalBody,
 		}
 		mux := http.NewServeMux()
-		mux.Handle("/", callers.Front(dialect, router))
+		mux.Handle("/", callers.NewHandler(dialect, router))
 		mux.HandleFunc("GET "+pathModels, func(w http.ResponseWriter, hr *http.Request) { models(w, hr, router.Policy()) })
-		mux.Handle("GET "+pathEntry, Directory(router.Resolve, router.EntryTTL))
+		mux.Handle("GET "+pathEntry, DirectoryHandler(router.Resolve, router.EntryTTL))
 		return mux
 	}
 }
 
-// Directory tells callers which routers to use and how long they may keep that.
-func Directory(resolve func(domain, caller string) []string, ttl time.Duration) http.Handler {
+// DirectoryHandler tells callers which routers to use and how long they may keep that.
+func DirectoryHandler(resolve func(domain, caller string) []string, ttl time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, hr *http.Request) {
-		addresses := resolve(hr.URL.Query().Get("failure_domain"), callers.HostOf(hr))
+		addresses := resolve(hr.URL.Query().Get("failure_domain"), callers.ClientIP(hr))
 		if len(addresses) == 0 {
 			writeRefusal(w, http.StatusServiceUnavailable, forward.Refusal{Cause: forward.RouterStopping})
 			return
@@ -63,16 +63,16 @@
 	})
 }
 
-// Ready answers whether callers should come.
-func Ready(ready func() bool) http.Handler {
-	return callers.Ready(pathReady, ready)
+// ReadyHandler answers whether callers should come.
+func ReadyHandler(ready func() bool) http.Handler {
+	return callers.ReadyHandler(pathReady, ready)
 }
 
 // models lists the models that the caller's contract allows, in OpenAI's shape.
 func models(w http.ResponseWriter, hr *http.Request, p *policy.Policy) {
 	account, refusal := authenticate(hr, p)
 	if refusal != nil {
-		writeRefusal(w, callers.StatusOf(refusal.Cause), *refusal)
+		writeRefusal(w, callers.StatusCode(refusal.Cause), *refusal)
 		return
 	}
 	type entry struct {
--- a/internal/native/parse_test.go
+++ b/internal/native/parse_test.go
@@ -85,7 +85,7 @@
 		if p, err := DecodeConfig(item); err == nil && p.Limits.MaxBodyBytes <= 0 {
 			t.Fatalf("%q: bodies of any size", data)
 		}
-		if entry, err := DecodeBackend(item); err == nil && entry.Address == "" {
+		if entry, err := DecodeServer(item); err == nil && entry.Address == "" {
 			t.Fatalf("%q: no address", data)
 		}
 	})
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -30,7 +30,7 @@
 
 func (n *Node) callerRouter() callers.Router {
 	return callers.Router{
-		Serve: n.serve, Refuse: n.forward.Refuse, BodyLimit: n.bodyLimit, Closing: n.stopping.Load, Policy: n.policy.Load,
+		Serve: n.serve, Refuse: n.forward.Refuse, MaxBodyBytes: n.bodyLimit, ShuttingDown: n.stopping.Load, Policy: n.policy.Load,
 		Resolve: n.resolve, EntryTTL: n.settings.EntryTTL,
 	}
 }
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -121,7 +121,7 @@
 	if err := b.Validate(); err != nil {
 		return errors.Wrap(ErrInvalid, err.Error())
 	}
-	return replaceEntries(ctx, s, string(b.ID), native.EntriesOf(b))
+	return replaceEntries(ctx, s, string(b.ID), native.BackendEntries(b))
 }
 
 // Unregister removes a backend server's entries.
@@ -155,7 +155,7 @@
 	}
 	entries := make([]native.BackendEntry, 0, len(snapshot.Items))
 	for _, item := range snapshot.Items {
-		entry, err := native.ParseBackend(item)
+		entry, err := native.ParseBackendEntry(item)
 		if err != nil {
 			return nil, err
 		}
@@ -175,7 +175,7 @@
 	}
 	txn := store.Txn{}
 	for _, item := range snapshot.Items {
-		entry, err := native.ParseBackend(item)
+		entry, err := native.ParseBackendEntry(item)
 		if err != nil {
 			return err
 		}
