--- a/cmd/chicory-edge/main.go
+++ b/cmd/chicory-edge/main.go
@@ -31,8 +31,8 @@
 		ServersPrefix:    platform.ServersPrefix,
 		DecodeServer:     fleet.DecodeEntry(platform.DecodeServer),
 		Codec:            platform.ServerCodec,
-		CallerHandler:    platform.Front,
-		DirectoryHandler: platform.Directory,
-		ReadyHandler:     platform.Ready,
+		CallerHandler:    platform.CallerHandler,
+		DirectoryHandler: platform.DirectoryHandler,
+		ReadyHandler:     platform.ReadyHandler,
 	}
 }
