--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -7,73 +7,75 @@
 	"chicorytiller.example/chicorytiller/internal/fleet"
 )
 
-// nearEnough is the routers of the caller's own failure domain below which those of
-// others are named too: with one alone its death would leave the caller nothing to
-// turn to until it asks again.
-const nearEnough = 2
+// minLocalRouters is the number of routers in the caller's failure domain below which routers of
+// other domains are included. If there were only one and it died, the caller would have no router
+// to connect to until it asks again.
+const minLocalRouters = 2
 
-// told is how many routers of its own failure domain a caller is told of. Callers pick
-// one of them at random for each connection; which ones they are told of follows the
-// routers' capacities. A few are enough to go on when some die.
-const told = 4
+// maxLocalRouters is the number of routers of its failure domain that a caller gets, chosen in
+// proportion to capacity. Callers pick one of them at random for each connection. A few are
+// enough to continue when some die.
+const maxLocalRouters = 4
 
-// addressesMost bounds an answer.
-const addressesMost = 64
+// maxAddresses bounds the number of addresses returned.
+const maxAddresses = 64
 
-// Choose returns addresses for a caller in a failure domain. Near routers are preferred
-// since bytes between failure domains are paid for. The same caller is told the same
-// routers as long as they live, since it leaves the connections to others.
+// Choose returns router addresses for a caller in a failure domain. Routers in that domain are
+// preferred since traffic between failure domains is charged for. A caller gets the same routers
+// as long as they live, since it drops its connections to all others.
 func Choose(members []fleet.Member, domain, caller string) []string {
-	var near, far []fleet.Member
+	var local, remote []fleet.Member
 	for _, m := range members {
 		if m.Domain == domain {
-			near = append(near, m)
+			local = append(local, m)
 			continue
 		}
-		far = append(far, m)
+		remote = append(remote, m)
 	}
-	chosen := near
-	if len(near) < nearEnough {
-		chosen = append(near, far...)
+	chosen := local
+	if len(local) < minLocalRouters {
+		chosen = append(local, remote...)
 	}
-	near = withoutSmall(near)
-	if len(near) > told {
-		sort.Slice(near, func(i, j int) bool { return near[i].Rank(caller) < near[j].Rank(caller) })
-		chosen = near[:told]
-	} else if len(near) >= nearEnough {
-		chosen = near
+	local = dropSmallRouters(local)
+	if len(local) > maxLocalRouters {
+		sort.Slice(local, func(i, j int) bool { return local[i].Rank(caller) < local[j].Rank(caller) })
+		chosen = local[:maxLocalRouters]
+	} else if len(local) >= minLocalRouters {
+		chosen = local
 	}
 	addresses := make([]string, 0, len(chosen))
-	for _, m := range chosen[:min(len(chosen), addressesMost)] {
+	for _, m := range chosen[:min(len(chosen), maxAddresses)] {
 		addresses = append(addresses, m.Address)
 	}
 	return addresses
 }
 
-// smallPart is the part of the largest capacity below which a router is small, and
-// mostOf the part of the whole that the others must have for it to be left out.
 const (
-	smallPart = 0.2
-	mostOf    = 0.5
+	// smallCapacityFraction is the fraction of the largest capacity below which a router counts
+	// as small.
+	smallCapacityFraction = 0.2
+	// minRemainingFraction is the fraction of the total capacity that the other routers must have
+	// for the small ones to be left out.
+	minRemainingFraction = 0.5
 )
 
-// withoutSmall leaves out the routers that are much smaller than the largest, as long as
-// the others can carry most of what all can: one caller alone may send more than a small
-// one's link takes, and callers pick without regard to size.
-func withoutSmall(members []fleet.Member) []fleet.Member {
-	largest, all, large := 0.0, 0.0, 0.0
+// dropSmallRouters leaves out the routers that are much smaller than the largest as long as the
+// others have most of the total capacity: a single caller may send more than the link of a small
+// router can carry, and callers pick routers regardless of capacity.
+func dropSmallRouters(members []fleet.Member) []fleet.Member {
+	largest, total, keptCapacity := 0.0, 0.0, 0.0
 	for _, m := range members {
 		largest = max(largest, m.Capacity)
-		all += m.Capacity
+		total += m.Capacity
 	}
 	var kept []fleet.Member
 	for _, m := range members {
-		if m.Capacity >= smallPart*largest {
+		if m.Capacity >= smallCapacityFraction*largest {
 			kept = append(kept, m)
-			large += m.Capacity
+			keptCapacity += m.Capacity
 		}
 	}
-	if len(kept) < nearEnough || large < mostOf*all {
+	if len(kept) < minLocalRouters || keptCapacity < minRemainingFraction*total {
 		return members
 	}
 	return kept
