--- a/internal/idempotency/guard.go
+++ b/internal/idempotency/guard.go
@@ -16,34 +16,37 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Times of claims.
 const (
-	// KeyRetention is how long a key is remembered at least after its request: longer than
-	// callers go on repeating one.
+	// KeyRetention is the minimum time that a key is remembered after it was claimed. It is
+	// longer than callers keep repeating a request.
 	KeyRetention = 9 * time.Minute
-	// leaseUse is how long one lease serves for new claims; each costs a call.
-	leaseUse = time.Minute
-	// callTimeout is far above the store's usual few milliseconds, and short beside
-	// the time a caller waits.
-	callTimeout = 600 * time.Millisecond
-	// claimTries: a second try tells whether the first, unanswered one has landed.
-	claimTries = 2
-	// repeatAfter is when another try makes sense while the first request runs.
-	repeatAfter = time.Second
+	// leaseReuse is how long one lease is used for new claims, since each lease costs a call to
+	// the store.
+	leaseReuse = time.Minute
+	// storeTimeout is far above the few milliseconds that a call to the store usually takes, and
+	// short compared with the time that a caller waits.
+	storeTimeout = 600 * time.Millisecond
+	// claimAttempts is the number of attempts to commit a claim. If the first one got no
+	// response, the second tells whether it was applied.
+	claimAttempts = 2
+	// retryAfter is the time after which callers may try again while the first request runs or
+	// the key could not be claimed.
+	retryAfter = time.Second
 )
 
-// Guard claims keys before requests run. It is safe for concurrent use.
+// Guard claims idempotency keys before their requests run. It is safe for concurrent use.
 type Guard struct {
 	Store  store.Store
-	Prefix string // of the claims' keys
+	Prefix string // prefix of the claims' keys in the store
 	Log    *event.Log
 
-	mu      sync.Mutex
-	lease   store.LeaseID
-	granted time.Time
+	mu        sync.Mutex
+	lease     store.LeaseID
+	grantedAt time.Time
 }
 
-// Wrap makes requests with an idempotency key run once.
+// Wrap returns a handler that claims a request's idempotency key, if it has one, before it calls
+// serve, and answers repeats from the claim.
 func (g *Guard) Wrap(serve forward.ServeFunc) forward.ServeFunc {
 	return func(ctx context.Context, r *request.Request, caller forward.Caller) {
 		if r.Idempotency == nil || r.Account == nil {
@@ -54,7 +57,7 @@
 	}
 }
 
-// claim is one that this router holds.
+// claim is a claim on an idempotency key that this router made.
 type claim struct {
 	key      string
 	revision store.Revision
@@ -63,21 +66,21 @@
 }
 
 func (g *Guard) serve(ctx context.Context, r *request.Request, caller forward.Caller, serve forward.ServeFunc) {
-	c, earlier, err := g.claim(ctx, r)
+	c, existing, err := g.claim(ctx, r)
 	switch {
 	case err != nil:
-		g.refuse(r, caller, forward.Refusal{Cause: forward.KeyUnclaimed, RetryAfter: repeatAfter}, err)
+		g.refuse(r, caller, forward.Refusal{Cause: forward.KeyUnclaimed, RetryAfter: retryAfter}, err)
 		return
-	case earlier != nil:
-		g.repeat(r, caller, *earlier)
+	case existing != nil:
+		g.answerRepeat(r, caller, *existing)
 		return
 	}
 	recorded := &recorder{caller: caller}
 	serve(ctx, r, recorded)
-	g.conclude(r, c, recorded)
+	g.finishClaim(r, c, recorded)
 }
 
-// claim takes the key, or returns the record of the request that has it.
+// claim claims the request's key, or returns the record of the request that claimed it before.
 func (g *Guard) claim(ctx context.Context, r *request.Request) (claim, *record, error) {
 	lease, err := g.currentLease(ctx)
 	if err != nil {
@@ -87,7 +90,7 @@
 		record: record{State: running, Request: r.ID, Hash: r.Idempotency.RequestHash}}
 	txn := store.Txn{Conditions: []store.Condition{{Key: c.key}}, Puts: []store.Put{{Key: c.key, Value: c.record.encode(), Lease: lease}}}
 	var result store.Result
-	for range claimTries {
+	for range claimAttempts {
 		result, err = g.commit(ctx, txn)
 		if !errors.Is(err, store.ErrOutcomeUnknown) {
 			break
@@ -100,58 +103,58 @@
 	case !errors.Is(err, store.ErrConflict) || len(result.Current) == 0:
 		return claim{}, nil, err
 	}
-	held, err := decodeRecord(result.Current[0].Value)
+	existing, err := decodeRecord(result.Current[0].Value)
 	if err != nil {
 		return claim{}, nil, err
 	}
-	if held.Request == r.ID { // the unanswered try has landed
+	if existing.Request == r.ID { // the first attempt got no response but was applied
 		c.revision = result.Current[0].Revision
 		return c, nil, nil
 	}
-	return claim{}, &held, nil
+	return claim{}, &existing, nil
 }
 
-// currentLease is a lease that outlives a claim made now by Keep.
+// currentLease returns a lease that lasts for at least KeyRetention from now.
 func (g *Guard) currentLease(ctx context.Context) (store.LeaseID, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.lease != 0 && time.Since(g.granted) < leaseUse {
+	if g.lease != 0 && time.Since(g.grantedAt) < leaseReuse {
 		return g.lease, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	granted := time.Now()
-	lease, err := g.Store.GrantLease(ctx, KeyRetention+leaseUse)
+	grantedAt := time.Now()
+	lease, err := g.Store.GrantLease(ctx, KeyRetention+leaseReuse)
 	if err != nil {
 		return 0, err
 	}
-	g.lease, g.granted = lease, granted
+	g.lease, g.grantedAt = lease, grantedAt
 	return lease, nil
 }
 
 func (g *Guard) commit(ctx context.Context, txn store.Txn) (store.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	return g.Store.Commit(ctx, txn)
 }
 
-// repeat answers a request whose key another one has.
-func (g *Guard) repeat(r *request.Request, caller forward.Caller, held record) {
-	if held.Hash != r.Idempotency.RequestHash {
+// answerRepeat answers or refuses a request whose key another request has claimed.
+func (g *Guard) answerRepeat(r *request.Request, caller forward.Caller, existing record) {
+	if existing.Hash != r.Idempotency.RequestHash {
 		g.refuse(r, caller, forward.Refusal{Cause: forward.KeyReused, Detail: "the idempotency key was used with another request"}, nil)
 		return
 	}
-	if held.State != answered {
-		refusal := forward.Refusal{Cause: forward.KeyInUse, Detail: "the key's first request is " + string(held.State)}
-		if held.State == running {
-			refusal.RetryAfter = repeatAfter
+	if existing.State != answered {
+		refusal := forward.Refusal{Cause: forward.KeyInUse, Detail: "the key's first request is " + string(existing.State)}
+		if existing.State == running {
+			refusal.RetryAfter = retryAfter
 		}
 		g.refuse(r, caller, refusal, nil)
 		return
 	}
-	g.Log.Emit(event.RequestReplayed, slog.String(event.KeyRequest, r.ID), slog.String("first", held.Request),
+	g.Log.Emit(event.RequestReplayed, slog.String(event.KeyRequest, r.ID), slog.String("first", existing.Request),
 		slog.String(event.KeyAccount, r.Account.Name))
-	_ = caller.Answer(held.Status, held.Header, held.Body) // a caller that has left asks again
+	_ = caller.Answer(existing.Status, existing.Header, existing.Body) // a caller that has disconnected will repeat the request
 }
 
 func (g *Guard) refuse(r *request.Request, caller forward.Caller, refusal forward.Refusal, err error) {
@@ -169,10 +172,10 @@
 	g.Log.Emit(event.RequestRefused, attrs...)
 }
 
-// conclude writes what became of the request into its claim, or gives the key free
-// where a repeat may run. A claim whose end can't be written stays "running": its
-// repeats are refused until it lapses, which is safe.
-func (g *Guard) conclude(r *request.Request, c claim, recorded *recorder) {
+// finishClaim writes the outcome of the request into its claim, or removes the claim if a repeat
+// may run. A claim that can't be updated stays "running": repeats are refused until its lease
+// expires, which is safe.
+func (g *Guard) finishClaim(r *request.Request, c claim, recorded *recorder) {
 	txn := store.Txn{Conditions: []store.Condition{{Key: c.key, Revision: c.revision}}}
 	if mayRunAgain(r, recorded) {
 		txn.Deletes = []string{c.key}
@@ -183,20 +186,21 @@
 		}
 		txn.Puts = []store.Put{{Key: c.key, Value: c.record.encode(), Lease: c.lease}}
 	}
-	// The caller may have left; its repeat needs the answer all the same.
+	// The request's context may be cancelled because the caller has disconnected. Its repeat needs
+	// the answer nevertheless.
 	if _, err := g.commit(context.Background(), txn); err != nil {
 		g.Log.Emit(event.ClaimOpen, slog.String(event.KeyRequest, r.ID), slog.String(event.KeyAccount, r.Account.Name),
 			slog.Any(event.KeyCause, err))
 	}
 }
 
-// mayRunAgain says whether a repeat may run: the request surely has not, or it may
-// run more than once and brought no whole answer.
+// mayRunAgain reports whether a repeat may run: the request certainly did not run, or it may run
+// more than once and did not produce a complete answer.
 func mayRunAgain(r *request.Request, recorded *recorder) bool {
 	if recorded.refused != nil && recorded.refused.Cause.NotRun() {
 		return true
 	}
-	return recorded.outcome() == unclear && r.Route != nil && r.Route.Retryable()
+	return recorded.outcome() == outcomeUnknown && r.Route != nil && r.Route.Retryable()
 }
 
 func hashKey(key string) string {
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -1,6 +1,6 @@
-// Package idempotency gives callers one run and one answer for all requests that
-// carry the same idempotency key, at whichever routers they arrive. A key is claimed
-// in the store before its request runs; the claim then holds the answer for repeats.
+// Package idempotency gives callers one run and one answer for all requests with the same
+// idempotency key, whichever routers they arrive at. A key is claimed in the store before its
+// request runs; afterwards the claim holds the answer for repeats.
 package idempotency
 
 import (
@@ -10,32 +10,32 @@
 	"github.com/pkg/errors"
 )
 
-// state is how far the request of a claim has come.
+// state is the state of the request that made a claim.
 type state string
 
 const (
-	// running: it may run, or its router has died.
+	// running means that the request may still run, or that its router died.
 	running state = "running"
-	// answered: its answer is in the claim.
+	// answered means that the claim holds the answer.
 	answered state = "answered"
-	// unkept: it was answered, and the answer was too long to be kept.
-	unkept state = "unkept"
-	// unclear: it may have run, and no answer came of it.
-	unclear state = "unclear"
+	// answerTooLong means that the request was answered, but the answer is too long to be stored.
+	answerTooLong state = "unkept"
+	// outcomeUnknown means that the request may have run without a complete answer.
+	outcomeUnknown state = "unclear"
 )
 
 // record is the stored form of a claim.
 type record struct {
 	State   state       `json:"state"`
 	Request string      `json:"request"` // id of the request that made the claim
-	Hash    string      `json:"hash"`    // of what it asked
+	Hash    string      `json:"hash"`    // hash of that request
 	Status  int         `json:"status,omitempty"`
 	Header  http.Header `json:"header,omitempty"`
 	Body    []byte      `json:"body,omitempty"`
 }
 
-// ErrInvalidRecord: a stored claim can't be used.
-var ErrInvalidRecord = errors.New("idempotency: unusable claim")
+// ErrInvalidRecord is returned for a stored claim that can't be decoded.
+var ErrInvalidRecord = errors.New("idempotency: invalid claim record")
 
 func decodeRecord(data []byte) (record, error) {
 	r := record{}
@@ -43,7 +43,7 @@
 		return record{}, errors.Wrap(ErrInvalidRecord, err.Error())
 	}
 	if r.Request == "" || r.State == "" {
-		return record{}, errors.Wrap(ErrInvalidRecord, "no request or state")
+		return record{}, errors.Wrap(ErrInvalidRecord, "request ID or state missing")
 	}
 	return r, nil
 }
--- a/internal/idempotency/recorder.go
+++ b/internal/idempotency/recorder.go
@@ -6,11 +6,11 @@
 	"chicorytiller.example/chicorytiller/internal/forward"
 )
 
-// answerMost is the longest body that a claim keeps, in bytes: a long generation's
-// stream has some 100 KB, and the store bounds its values.
-const answerMost = 256 << 10
+// maxAnswerBytes is the maximum size of an answer body that a claim holds. The stream of a long
+// generation has about 100 KB; the store limits the size of its values.
+const maxAnswerBytes = 256 << 10
 
-// recorder passes an answer on and keeps it.
+// recorder forwards an answer to the caller and records it.
 type recorder struct {
 	caller forward.Caller
 
@@ -18,7 +18,7 @@
 	status  int
 	header  http.Header
 	body    []byte
-	long    bool // the body is not all kept
+	tooLong bool // the body exceeds maxAnswerBytes and was dropped
 	aborted bool
 }
 
@@ -30,11 +30,11 @@
 	r.caller.Refuse(refusal)
 }
 
-// Answer implements forward.Caller. What matters for repeats is what the server
-// answered, not whether this caller took it.
+// Answer implements forward.Caller. It records the answer even if the caller can't be written to,
+// since repeats need it.
 func (r *recorder) Answer(status int, header http.Header, body []byte) error {
 	r.status, r.header = status, header
-	r.keep(body)
+	r.appendBody(body)
 	return r.caller.Answer(status, header, body)
 }
 
@@ -46,7 +46,7 @@
 
 // Write implements forward.Caller.
 func (r *recorder) Write(part []byte) error {
-	r.keep(part)
+	r.appendBody(part)
 	return r.caller.Write(part)
 }
 
@@ -56,23 +56,23 @@
 	r.caller.Abort()
 }
 
-func (r *recorder) keep(part []byte) {
-	if len(r.body)+len(part) > answerMost {
-		r.long, r.body = true, nil
+func (r *recorder) appendBody(part []byte) {
+	if len(r.body)+len(part) > maxAnswerBytes {
+		r.tooLong, r.body = true, nil
 		return
 	}
-	if !r.long {
+	if !r.tooLong {
 		r.body = append(r.body, part...)
 	}
 }
 
-// outcome is the claim's state after the request.
+// outcome returns the state of the claim after the request.
 func (r *recorder) outcome() state {
 	switch {
 	case r.refused != nil || r.aborted || r.status == 0:
-		return unclear
-	case r.long:
-		return unkept
+		return outcomeUnknown
+	case r.tooLong:
+		return answerTooLong
 	}
 	return answered
 }
--- a/internal/idempotency/stored_test.go
+++ b/internal/idempotency/stored_test.go
@@ -7,14 +7,14 @@
 	"chicorytiller.example/chicorytiller/internal/wireform"
 )
 
-// Guards against a renamed field or state of a stored claim: a router of another version
-// would run its request again.
+// Guards against renamed fields or states of stored claims: a router of another version would
+// run the request again.
 func TestClaimsKeepTheirStoredForm(t *testing.T) {
 	wireform.Compare(t, "stored.golden", []string{
 		"claim " + wireform.JSON(reflect.TypeFor[record]()),
 		"state may run: " + string(running),
 		"state answer kept: " + string(answered),
-		"state answer too long: " + string(unkept),
-		"state no answer: " + string(unclear),
+		"state answer too long: " + string(answerTooLong),
+		"state no answer: " + string(outcomeUnknown),
 	})
 }
