--- a/internal/peers/follow_test.go
+++ b/internal/peers/follow_test.go
@@ -12,25 +12,26 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// feeds is a router that feeds one prefix.
-type feeds struct {
-	nothing
+// feedState has a feed of the prefix a/ only.
+type feedState struct {
+	emptyState
 	feed *store.Feed
 }
 
-func (f feeds) Feed(prefix string) *store.Feed {
+func (f feedState) Feed(prefix string) *store.Feed {
 	if prefix != "a/" {
 		return nil
 	}
 	return f.feed
 }
 
-// Guards against taking a router that follows nothing for unreachable.
-func TestRouterWithoutAFeedSaysSo(t *testing.T) {
+// A router without a feed, or with one that has read nothing, answers ErrNoFeed; the client must
+// not put it in back-off for that.
+func TestFollowWithoutFeed(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(func() { _ = listener.Close() })                                                         // the test is over
-	go func() { _ = Serve(listener, &lender{left: 5}, feeds{feed: &store.Feed{}}, event.Discard()) }() // ends with its listener
+	t.Cleanup(func() { _ = listener.Close() })                                                                   // the test is over
+	go func() { _ = Serve(listener, &fakeLender{tokens: 5}, feedState{feed: &store.Feed{}}, event.Discard()) }() // ends with its listener
 	c := NewClient("p1", func() []string { return nil }, event.Discard())
 	address := listener.Addr().String()
 	for _, prefix := range []string{"a/", "b/"} {
--- a/internal/peers/pack_test.go
+++ b/internal/peers/pack_test.go
@@ -22,8 +22,8 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m, nil) }
 
-// routes is a configuration with many routes, whose names are drawn.
-func routes(n int) []byte {
+// configWithRoutes returns a configuration with n routes, which have random names.
+func configWithRoutes(n int) []byte {
 	random := rand.New(rand.NewPCG(1, 1))
 	var b strings.Builder
 	b.WriteString(`{"version":7,"routes":[`)
@@ -38,45 +38,45 @@
 	return []byte(b.String())
 }
 
-// countedListener counts the bytes that its connections send.
-type countedListener struct {
+// countingListener counts the bytes that its connections send.
+type countingListener struct {
 	net.Listener
 	sent atomic.Int64
 }
 
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	return &countedConn{Conn: c, sent: &l.sent}, err
+	return &countingConn{Conn: c, sent: &l.sent}, err
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	sent *atomic.Int64
 }
 
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.sent.Add(int64(n))
 	return n, err
 }
 
-// Guards against configurations that fill a small VM's link for longer than their reader waits.
+// An uncompressed configuration would occupy a small VM's link for longer than its reader waits.
 func TestLargeAnswersAreCompressed(t *testing.T) {
 	c := qt.New(t)
-	config := routes(1800)
+	config := configWithRoutes(1800)
 	c.Assert(len(config) > 250_000, qt.IsTrue)
-	memory := memstore.New(nil)
-	memory.Put("a/config", config)
+	memoryStore := memstore.New(nil)
+	memoryStore.Put("a/config", config)
 	feed := &store.Feed{}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	follower := &store.Follower{Store: memory, Prefix: "a/", Sink: ignore{}, Feed: feed, MaxWait: time.Hour, CheckAfter: time.Hour, Timeout: time.Hour}
+	follower := &store.Follower{Store: memoryStore, Prefix: "a/", Sink: discardSink{}, Feed: feed, MaxWait: time.Hour, CheckAfter: time.Hour, Timeout: time.Hour}
 	go follower.Run(ctx)
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	listener := &countedListener{Listener: raw}
-	defer func() { _ = listener.Close() }()                                            // the test is over
-	go func() { _ = Serve(listener, &lender{}, feeds{feed: feed}, event.Discard()) }() // ends with its listener
+	listener := &countingListener{Listener: raw}
+	defer func() { _ = listener.Close() }()                                                    // the test is over
+	go func() { _ = Serve(listener, &fakeLender{}, feedState{feed: feed}, event.Discard()) }() // ends with its listener
 	client := NewClient("p1", func() []string { return nil }, event.Discard())
 	var answer FollowAnswer
 	for answer.Snapshot.At == 0 {
@@ -88,15 +88,15 @@
 	c.Assert(listener.sent.Load() < int64(len(config))/2, qt.IsTrue, qt.Commentf("%d bytes of %d", listener.sent.Load(), len(config)))
 }
 
-// ignore is a sink that keeps nothing.
-type ignore struct{}
+// discardSink is a store.Sink that ignores everything.
+type discardSink struct{}
 
-func (ignore) SetReachable(bool, error)           {}
-func (ignore) Reset([]store.Item, store.Silence)  {}
-func (ignore) Apply([]store.Event, store.Silence) {}
+func (discardSink) SetReachable(bool, error)           {}
+func (discardSink) Reset([]store.Item, store.Silence)  {}
+func (discardSink) Apply([]store.Event, store.Silence) {}
 
-// What is packed comes back as it was, whatever the order of answers.
-func TestPackedAnswersComeBackWhole(t *testing.T) {
+// Unpacking restores the content, whichever answers are in the packer's cache.
+func TestPackRoundTrip(t *testing.T) {
 	p := &packer{}
 	c := qt.New(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -119,23 +119,23 @@
 	qt.Assert(t, len(p.cache) <= maxCachedPacks, qt.IsTrue)
 }
 
-// Guards against a spoiled or cut answer that is taken for an empty one.
-func TestSpoiledAnswerIsAnError(t *testing.T) {
-	a := FollowAnswer{Snapshot: store.Snapshot{Items: []store.Item{{Key: "a/config", Value: routes(500), Revision: 3}}}}
+// A corrupt or truncated answer must not be taken for an empty one.
+func TestUnpackCorruptAnswer(t *testing.T) {
+	a := FollowAnswer{Snapshot: store.Snapshot{Items: []store.Item{{Key: "a/config", Value: configWithRoutes(500), Revision: 3}}}}
 	qt.Assert(t, (&packer{}).pack(&a), qt.IsNil)
 	qt.Assert(t, len(a.Packed.Data) > 0, qt.IsTrue)
-	whole := a.Packed
-	a.Packed.Data = append([]byte(nil), whole.Data...)
+	intact := a.Packed
+	a.Packed.Data = append([]byte(nil), intact.Data...)
 	a.Packed.Data[len(a.Packed.Data)/2] ^= 1
 	qt.Assert(t, a.unpack(), qt.ErrorIs, ErrCorruptAnswer)
-	cut := contentOf(whole.Data[:len(whole.Data)/2])
-	qt.Assert(t, cut.unpack(), qt.ErrorIs, ErrCorruptAnswer)
-	foreign := contentOf([]byte("no answer at all"))
-	qt.Assert(t, foreign.unpack(), qt.ErrorIs, ErrCorruptAnswer)
+	truncated := packedAnswer(intact.Data[:len(intact.Data)/2])
+	qt.Assert(t, truncated.unpack(), qt.ErrorIs, ErrCorruptAnswer)
+	invalid := packedAnswer([]byte("no answer at all"))
+	qt.Assert(t, invalid.unpack(), qt.ErrorIs, ErrCorruptAnswer)
 }
 
 func BenchmarkPack(b *testing.B) {
-	content := packedContent{Items: []store.Item{{Key: "a/config", Value: routes(1800), Revision: 3}}}
+	content := packedContent{Items: []store.Item{{Key: "a/config", Value: configWithRoutes(1800), Revision: 3}}}
 	b.ReportAllocs()
 	for b.Loop() {
 		packed, err := content.pack()
@@ -146,7 +146,7 @@
 	}
 }
 
-// contentOf is an answer with compressed bytes of any kind, and their digest.
-func contentOf(data []byte) *FollowAnswer {
+// packedAnswer returns an answer with the given compressed data and its digest.
+func packedAnswer(data []byte) *FollowAnswer {
 	return &FollowAnswer{Packed: Packed{Data: data, Digest: xxhash.Sum64(data)}}
 }
--- a/internal/peers/silence_test.go
+++ b/internal/peers/silence_test.go
@@ -11,69 +11,70 @@
 	"chicorytiller.example/chicorytiller/internal/event"
 )
 
-// held is a lender that keeps the requests of one waiter until the test lets them go.
-type held struct {
-	lender
-	asked, let chan struct{}
+// blockingLender blocks the calls of blockedWaiter until release is closed.
+type blockingLender struct {
+	fakeLender
+	entered, release chan struct{}
 }
 
-const heldWaiter = "held"
+const blockedWaiter = "held"
 
-func (h *held) Lend(account string, tokens int64, waiter string) escrow.Loan {
-	if waiter == heldWaiter {
-		h.asked <- struct{}{}
-		<-h.let
+func (l *blockingLender) Lend(account string, tokens int64, waiterID string) escrow.Loan {
+	if waiterID == blockedWaiter {
+		l.entered <- struct{}{}
+		<-l.release
 	}
-	return h.lender.Lend(account, tokens, waiter)
+	return l.fakeLender.Lend(account, tokens, waiterID)
 }
 
-func startHeld(t *testing.T) (*held, string) {
+func startBlockingPeer(t *testing.T) (*blockingLender, string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { _ = listener.Close() }) // the test is over
-	h := &held{lender: lender{left: 1000}, asked: make(chan struct{}, 1), let: make(chan struct{})}
-	go func() { _ = Serve(listener, h, nothing{}, event.Discard()) }() // ends with its listener
-	return h, listener.Addr().String()
+	l := &blockingLender{fakeLender: fakeLender{tokens: 1000}, entered: make(chan struct{}, 1), release: make(chan struct{})}
+	go func() { _ = Serve(listener, l, emptyState{}, event.Discard()) }() // ends with its listener
+	return l, listener.Addr().String()
 }
 
-// Guards against passing a home by, and dropping other loans, because one caller left.
-func TestCallerThatLeavesKeepsNobodyFromTheHome(t *testing.T) {
-	h, home := startHeld(t)
+// A cancelled call must neither put the home in back-off nor close the connection under other
+// calls.
+func TestCancelledCallDoesNotAffectOtherCalls(t *testing.T) {
+	lender, home := startBlockingPeer(t)
 	c := NewClient("p1", func() []string { return nil }, event.Discard())
-	waits := make(chan escrow.Loan)
-	go func() { waits <- c.BorrowFrom(context.Background(), home, "a", 5, heldWaiter) }()
-	<-h.asked
-	ctx, leave := context.WithCancel(context.Background())
-	left := make(chan escrow.Loan)
-	go func() { left <- c.BorrowFrom(ctx, home, "a", 5, heldWaiter) }()
-	<-h.asked
-	leave()
-	qt.Assert(t, (<-left).Short, qt.Equals, escrow.PeerUnreachable)
+	waiting := make(chan escrow.Loan)
+	go func() { waiting <- c.BorrowFrom(context.Background(), home, "a", 5, blockedWaiter) }()
+	<-lender.entered
+	ctx, cancel := context.WithCancel(context.Background())
+	cancelled := make(chan escrow.Loan)
+	go func() { cancelled <- c.BorrowFrom(ctx, home, "a", 5, blockedWaiter) }()
+	<-lender.entered
+	cancel()
+	qt.Assert(t, (<-cancelled).Short, qt.Equals, escrow.PeerUnreachable)
 	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, "next").Tokens, qt.Equals, int64(5))
-	close(h.let)
-	qt.Assert(t, (<-waits).Tokens, qt.Equals, int64(5))
+	close(lender.release)
+	qt.Assert(t, (<-waiting).Tokens, qt.Equals, int64(5))
 }
 
-// Guards against avoiding a home that answers others because one call took too long.
-func TestPeerThatAnswersOthersIsNotSilent(t *testing.T) {
-	h, home := startHeld(t)
-	defer close(h.let)
+// A call that times out must not put a home in back-off that has answered others meanwhile.
+func TestTimeoutAtResponsivePeerStartsNoBackoff(t *testing.T) {
+	lender, home := startBlockingPeer(t)
+	defer close(lender.release)
 	c := NewClient("p1", func() []string { return nil }, event.Discard())
-	late := make(chan escrow.Loan)
-	go func() { late <- c.BorrowFrom(context.Background(), home, "a", 5, heldWaiter) }()
-	<-h.asked
+	timedOut := make(chan escrow.Loan)
+	go func() { timedOut <- c.BorrowFrom(context.Background(), home, "a", 5, blockedWaiter) }()
+	<-lender.entered
 	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, "other").Tokens, qt.Equals, int64(5))
-	qt.Assert(t, (<-late).Short, qt.Equals, escrow.PeerUnreachable)
+	qt.Assert(t, (<-timedOut).Short, qt.Equals, escrow.PeerUnreachable)
 	qt.Assert(t, c.inBackoff(home), qt.IsFalse)
 	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, "next").Tokens, qt.Equals, int64(5))
 }
 
-// A home that answers nobody is avoided, so that requests go on elsewhere at once.
-func TestSilentPeerIsAvoided(t *testing.T) {
-	h, home := startHeld(t)
-	defer close(h.let)
+// A home that answers no call is put in back-off, so that requests try other holders immediately.
+func TestUnresponsivePeerIsInBackoff(t *testing.T) {
+	lender, home := startBlockingPeer(t)
+	defer close(lender.release)
 	c := NewClient("p1", func() []string { return nil }, event.Discard())
-	go func() { <-h.asked }()
-	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, heldWaiter).Short, qt.Equals, escrow.PeerUnreachable)
+	go func() { <-lender.entered }()
+	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, blockedWaiter).Short, qt.Equals, escrow.PeerUnreachable)
 	qt.Assert(t, c.inBackoff(home), qt.IsTrue)
 }
