--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -23,7 +23,7 @@
 
 // Request is a caller's request with its whole body.
 type Request struct {
-	ID         string // chosen by the caller, a new one for each of its attempts
+	ID         string // new for each attempt of the caller; chosen by the caller or generated
 	Method     string
 	Host       string
 	RequestURI string // path and query, as sent
