--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,9 +1,9 @@
-// Package upstream speaks HTTP/1.1 with backend servers over connections that it
-// owns: one request at a time on each, and each answer matched to its request.
+// Package upstream is an HTTP/1.1 client for backend servers. It manages its own connections,
+// sends one request at a time on each, and matches each response to its request.
 //
-// The libraries' HTTP clients repeat requests on their own account and pool
-// connections whose state they don't show; both can run a request twice or hand
-// one caller another's answer. The framing of answers is the standard library's.
+// General HTTP clients repeat requests by themselves and don't expose the state of their pooled
+// connections. Both can make a request run twice or give one caller the response of another. The
+// parsing of responses is left to net/http.
 package upstream
 
 import (
@@ -15,62 +15,62 @@
 	"github.com/pkg/errors"
 )
 
-// Socket limits.
+// Socket settings.
 const (
-	// dialTimeout is far above a round trip between failure domains (some ms); a
-	// lost opening packet is sent again after a second only, so that another
-	// server is the better try.
+	// dialTimeout is far above a round trip between failure domains (some ms). It is below the
+	// second after which a lost SYN is sent again: trying another server is faster.
 	dialTimeout = 400 * time.Millisecond
-	// unackedTimeout ends a connection whose peer acknowledges nothing: a VM
-	// without power or behind a cut sends no reset. Three retransmissions fit.
-	unackedTimeout = 1200 * time.Millisecond
-	// probeIdle and probeEvery find the same on a connection that only waits.
-	probeIdle  = 1 * time.Second
-	probeEvery = 500 * time.Millisecond
-	probeCount = 2
+	// unackedDataTimeout closes a connection whose peer acknowledges no data: a VM that lost
+	// power or its network sends no reset. It leaves time for three retransmissions.
+	unackedDataTimeout = 1200 * time.Millisecond
+	// TCP keep-alive probes detect such a peer while no data is unacknowledged.
+	tcpKeepAliveIdle     = 1 * time.Second
+	tcpKeepAliveInterval = 500 * time.Millisecond
+	tcpKeepAliveCount    = 2
 	// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall lacks.
 	tcpUserTimeout = 18
-	// readBuffer holds an answer's head and the first of its body.
-	readBuffer = 4096
+	// readBufferSize fits a response head and the start of the body.
+	readBufferSize = 4096
 )
 
 // Idle times of pooled connections.
 const (
-	// idleDefault is used for servers that don't tell how long they keep an idle
-	// connection.
-	idleDefault = 3 * time.Second
-	// idleMargin keeps a connection from being used while its server closes it.
+	// defaultIdleTimeout is used for servers that don't report how long they keep an idle
+	// connection open.
+	defaultIdleTimeout = 3 * time.Second
+	// idleMargin is subtracted from the idle time that a server reports, so that a connection is
+	// not used while the server closes it.
 	idleMargin = 700 * time.Millisecond
 )
 
 // conn is one connection to a backend server.
 type conn struct {
 	net.Conn
-	reader  *bufio.Reader
-	expires time.Time
+	reader    *bufio.Reader
+	expiresAt time.Time
 }
 
 var dialer = net.Dialer{
 	Timeout: dialTimeout,
 	KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount,
+		Enable: true, Idle: tcpKeepAliveIdle, Interval: tcpKeepAliveInterval, Count: tcpKeepAliveCount,
 	},
 	Control: func(_, _ string, raw syscall.RawConn) error {
-		var failed error
+		var sockErr error
 		err := raw.Control(func(fd uintptr) {
-			failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
+			sockErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedDataTimeout.Milliseconds()))
 		})
 		if err != nil {
 			return errors.Wrap(err, "socket")
 		}
-		return errors.Wrap(failed, "unacknowledged-data timeout")
+		return errors.Wrap(sockErr, "set TCP_USER_TIMEOUT")
 	},
 }
 
-// quiet says whether nothing waits on the connection: no close, no byte. Bytes
-// before a request belong to no request; sending on a closed connection would
-// leave open whether the request ran.
-func (c *conn) quiet() bool {
+// isQuiet reports whether the connection is open and has no unread bytes. Bytes that arrive before
+// a request is sent can't be its response. If a request were sent on a closed connection, it would
+// be unknown whether it ran.
+func (c *conn) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -80,9 +80,9 @@
 	}
 	quiet := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, failed := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = failed == syscall.EAGAIN
+		var buf [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		quiet = err == syscall.EAGAIN
 		return true
 	})
 	return err == nil && quiet
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -17,56 +17,58 @@
 type Attempt struct {
 	Request *request.Request
 	Server  *fleet.Server
-	// Timeout is how long the server may work on it; zero: no bound.
+	// Timeout is how long the server may work on the request; zero means no limit.
 	Timeout time.Duration
-	// ResumeAfter is the last event already had, if Resume.
+	// ResumeAfter is the ID of the last event that the caller has, if Resume is set.
 	ResumeAfter int64
 	Resume      bool
 }
 
-// Meta is what an answer's head says beside its status.
+// Meta contains the values of a response's headers that concern the router. Headers that are
+// missing or invalid leave zero values, unless stated otherwise.
 type Meta struct {
-	// RequestID is the request that the answer is for; empty if it doesn't say.
+	// RequestID is the ID of the request that is answered.
 	RequestID string
-	// NotExecuted: the server says that it did not run the request.
+	// NotExecuted: the server states that it did not run the request.
 	NotExecuted bool
 	Load        fleet.Load
 	HasLoad     bool
-	// ColdFor is how much longer the server is cold, as it says; zero: it is warm, or doesn't say.
+	// ColdFor is how much longer the server will be cold; zero if it is warm.
 	ColdFor time.Duration
-	// RateLimit is what the answer says of the requests that the server takes.
+	// RateLimit is the limit on requests that the server sets. Its State tells a missing header
+	// from an invalid one.
 	RateLimit fleet.RateLimit
-	// OutputTokens is the output tokens of an answer that isn't a stream; OutputUnknown if
-	// the server should have told and didn't.
+	// OutputTokens is the number of output tokens of a response that is not a stream. It is
+	// OutputUnknown if the dialect has a header for it and the header is missing or invalid.
 	OutputTokens int
-	// KeepAlive is how long the server keeps the connection idle; 0 if unsaid.
+	// KeepAlive is how long the server keeps an idle connection open.
 	KeepAlive time.Duration
 }
 
-// OutputUnknown stands for as many output tokens as were asked for.
+// OutputUnknown is the value of OutputTokens if the server did not report them. The request is
+// then charged for all output tokens that it asked for.
 const OutputUnknown = -1
 
-// Codec writes the head of a request and reads the head of an answer in the
-// backend servers' dialect.
+// Codec encodes request heads and decodes response heads in the backend servers' dialect.
 type Codec interface {
-	// AppendHead appends the head up to and with its closing empty line.
+	// AppendHead appends the request line and headers, including the empty line at the end.
 	AppendHead(buf []byte, a *Attempt) []byte
+	// ParseMeta returns the Meta of a response with the given status and headers.
 	ParseMeta(status int, header http.Header) Meta
 }
 
-// Errors of an exchange.
 var (
-	// ErrNotSent: no connection came about; the server has nothing of the request.
+	// ErrNotSent: nothing of the request was sent.
 	ErrNotSent = errors.New("upstream: not sent")
-	// ErrBroken: the connection broke, or what came back is no answer to the
-	// request. The request may have run.
+	// ErrBroken: the connection failed after the request was sent, or the response was not to
+	// this request. The request may have run.
 	ErrBroken = errors.New("upstream: exchange broken")
 )
 
-// errClosed: the server left, or its failure domain was evacuated, after it was chosen.
-var errClosed = errors.New("upstream: server closed meanwhile")
+// errServerIneligible: the server left, or its failure domain was evacuated, after it was chosen.
+var errServerIneligible = errors.New("upstream: server became ineligible while connecting")
 
-// Error is a failed exchange: what it means for the request, and its cause.
+// Error is the error of a failed exchange.
 type Error struct {
 	Kind  error // ErrNotSent or ErrBroken
 	Cause error
@@ -76,54 +78,54 @@
 	return e.Kind.Error() + ": " + e.Cause.Error()
 }
 
-// Unwrap makes both the meaning and the cause visible to errors.Is and errors.As.
+// Unwrap makes the kind and the cause visible to errors.Is and errors.As.
 func (e *Error) Unwrap() []error {
 	return []error{e.Kind, e.Cause}
 }
 
-// Reply is an answer whose body has not been read yet. Close must be called.
+// Reply is a response whose body has not been read yet. Close must be called.
 type Reply struct {
 	Status int
 	Header http.Header
 	Meta
-	// Length of the body; -1 if it isn't known before the end.
+	// Length is the length of the body, or -1 if the response doesn't state it.
 	Length int64
 
-	client   *Client
-	server   string
-	conn     *conn
-	response *http.Response
-	stop     func() bool
-	written  <-chan error
-	whole    bool // the body was read to its proper end
-	spoiled  bool // the connection can't be used again
+	client      *Client
+	incarnation string
+	conn        *conn
+	response    *http.Response
+	stop        func() bool  // cancels the closing of the connection when ctx ends
+	written     <-chan error // receives the result of writing the request
+	bodyRead    bool         // the body was read to its proper end
+	unusable    bool         // the connection carried a response to another request
 }
 
-// skippedMost bounds the foreign answers that are skipped on one connection, and
-// skippedBytes the size of each.
 const (
-	skippedMost  = 2
-	skippedBytes = 1 << 20
+	// maxSkipped bounds how many responses to other requests are skipped before the right one.
+	maxSkipped = 2
+	// maxSkippedBytes bounds the body of a skipped response.
+	maxSkippedBytes = 1 << 20
 )
 
-// smallBody is written before the answer is awaited: it fits any socket buffer, so
-// that the write can't block on a server that answers early.
-const smallBody = 2048
+// maxSyncWrite is the size up to which a request is written before its response is read. It fits
+// any socket buffer, so that the write does not block if the server responds early.
+const maxSyncWrite = 2048
 
-// Do sends an attempt and waits for the answer's head. When ctx ends, the
-// connection is closed, which makes servers drop the request.
+// Do sends an attempt and waits for the response head. When ctx ends, the connection is closed,
+// which makes the server drop the request. Errors are of type *Error.
 func (c *Client) Do(ctx context.Context, a *Attempt) (*Reply, error) {
 	connection, err := c.connect(ctx, a.Server.Incarnation, a.Server.Address)
 	if err != nil {
 		return nil, &Error{Kind: ErrNotSent, Cause: err}
 	}
 	if a.Server.Ineligible() {
-		// A connection may take its time to come about. Sent after it, the request would
-		// reach a server later than what was known of it when it was chosen.
+		// Connecting takes time, in which the server may have been marked as leaving or its
+		// failure domain as evacuated. It must get no request after that.
 		_ = connection.Close() // nothing was sent on it
-		return nil, &Error{Kind: ErrNotSent, Cause: errClosed}
+		return nil, &Error{Kind: ErrNotSent, Cause: errServerIneligible}
 	}
-	stop := context.AfterFunc(ctx, func() { _ = connection.Close() }) // a second close changes nothing
+	stop := context.AfterFunc(ctx, func() { _ = connection.Close() }) // closing twice is harmless
 	reply, err := c.exchange(connection, a)
 	if err != nil {
 		stop()
@@ -138,7 +140,7 @@
 	message := c.codec.AppendHead(make([]byte, 0, 1024+len(a.Request.Body)), a)
 	message = append(message, a.Request.Body...)
 	written := make(chan error, 1)
-	if len(message) <= smallBody {
+	if len(message) <= maxSyncWrite {
 		if _, err := connection.Write(message); err != nil {
 			return nil, err
 		}
@@ -149,16 +151,16 @@
 			written <- err
 		}()
 	}
-	reply := &Reply{client: c, server: a.Server.Incarnation, conn: connection, written: written}
+	reply := &Reply{client: c, incarnation: a.Server.Incarnation, conn: connection, written: written}
 	if err := reply.readHead(a); err != nil {
 		return nil, err
 	}
 	return reply, nil
 }
 
-// readHead reads heads until one is the request's own. A server may send a second
-// answer late, at the place where the next one is due; its id tells. A rejection
-// may come without an id.
+// readHead reads the response head. A server may send a second response to an earlier request;
+// such responses are recognised by their request ID and skipped. An error status may come without
+// a request ID.
 func (r *Reply) readHead(a *Attempt) error {
 	for skipped := 0; ; skipped++ {
 		response, err := r.readResponse(a.Request.Method)
@@ -171,17 +173,18 @@
 			r.Length, r.response = response.ContentLength, response
 			return nil
 		}
-		r.spoiled = true
-		if skipped == skippedMost {
-			return errors.New("answers of other requests only")
+		r.unusable = true
+		if skipped == maxSkipped {
+			return errors.New("responses to other requests only")
 		}
-		n, err := io.CopyN(io.Discard, response.Body, skippedBytes)
+		n, err := io.CopyN(io.Discard, response.Body, maxSkippedBytes)
 		if err != io.EOF {
-			return errors.Errorf("another request's answer, %d bytes read: %v", n, err)
+			return errors.Errorf("response to another request, %d bytes read: %v", n, err)
 		}
 	}
 }
 
+// readResponse reads one response and skips informational ones (1xx).
 func (r *Reply) readResponse(method string) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(r.conn.reader, &http.Request{Method: method})
@@ -194,36 +197,37 @@
 	}
 }
 
-// Read reads the body. It returns io.EOF only at its proper end: after the stated
-// length, the last chunk, or, of a body without either, an orderly close.
+// Read reads the body. It returns io.EOF only at the proper end: after the stated length or the
+// last chunk, or, if the body has neither, after an orderly close of the connection.
 func (r *Reply) Read(p []byte) (int, error) {
 	n, err := r.response.Body.Read(p)
 	if err == io.EOF {
-		r.whole = true
+		r.bodyRead = true
 	}
 	return n, err
 }
 
-// Close gives the connection back if it is clean, and closes it otherwise.
+// Close returns the connection to the pool if it can be reused, and closes it otherwise.
 func (r *Reply) Close() {
-	ended := !r.stop() // ctx ended: the connection is being closed
-	if ended || !r.reusable() {
-		_ = r.conn.Close() // whatever was still due on it is not wanted
+	ctxEnded := !r.stop() // if so, the connection is being closed
+	if ctxEnded || !r.reusable() {
+		_ = r.conn.Close() // the rest of the response is not needed
 		return
 	}
-	idle := idleDefault
+	idle := defaultIdleTimeout
 	if r.KeepAlive > 0 {
 		idle = r.KeepAlive - idleMargin
 	}
-	r.conn.expires = time.Now().Add(idle)
-	r.client.pool(r.server).put(r.conn)
+	r.conn.expiresAt = time.Now().Add(idle)
+	r.client.pool(r.incarnation).put(r.conn)
 }
 
-// reusable says whether the connection stands between two exchanges, as far as this one
-// tells; bytes that come later are seen when it is taken again. A server may answer before it has read a long body and read on later: the next
-// request would be taken for the rest of that body.
+// reusable reports whether the exchange has ended on both sides, so that the connection can carry
+// another request. (Bytes that arrive later are noticed when it is taken from the pool.) The
+// request must have been written whole: a server may respond before it has read a long body, and
+// would take the next request for the rest of that body.
 func (r *Reply) reusable() bool {
-	if !r.whole || r.spoiled || r.response.Close {
+	if !r.bodyRead || r.unusable || r.response.Close {
 		return false
 	}
 	select {
@@ -234,9 +238,9 @@
 	}
 }
 
-// IsTimeout says whether an error means that the peer gave no sign of life, as a
-// VM without power or behind a cut does.
+// IsTimeout reports whether err is a network timeout: the server did not even acknowledge data, for
+// example because its VM lost power or its network.
 func IsTimeout(err error) bool {
-	var failure net.Error
-	return errors.As(err, &failure) && failure.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
--- a/internal/upstream/headers.go
+++ b/internal/upstream/headers.go
@@ -10,32 +10,33 @@
 	"chicorytiller.example/chicorytiller/internal/fleet"
 )
 
-// HeaderNames are the header fields of one dialect of backend servers.
+// HeaderNames are the names of the headers in one dialect of backend servers. Cold, RateLimit and
+// OutputTokens are empty if the dialect has no such header.
 type HeaderNames struct {
-	RequestID    string // both ways: which request a message belongs to
-	ServerID     string // the server that the request is meant for; another one rejects it
-	TimeLeft     string // how long the answer is waited for, in ms
-	LastEventID  string // the last event of the stream that the caller has
-	Account      string // who pays
-	Priority     string // 0 to 9, 0 is first
-	NotExecuted  string // of an answer: the server did not run the request
-	Load         string // of an answer: running, waiting and most running requests
-	Cold         string // of an answer: how much longer the server is cold, in ms; empty: never told
-	RateLimit    string // of an answer: requests a second that the server takes from all routers; empty: never told
-	OutputTokens string // of a whole answer: its output tokens; empty: never told
+	RequestID    string // of requests and responses: the ID of the request
+	ServerID     string // of requests: the server that is meant; another one rejects the request
+	TimeLeft     string // of requests: how long the router waits for the response, in ms
+	LastEventID  string // of requests: the last event of the stream that the caller has
+	Account      string // of requests: the client account that pays
+	Priority     string // of requests: 0 (highest) to 9
+	NotExecuted  string // of responses: the server did not run the request
+	Load         string // of responses: numbers of running and waiting requests and of slots
+	Cold         string // of responses: how much longer the server will be cold, in ms
+	RateLimit    string // of responses: requests per second that the server takes from all routers
+	OutputTokens string // of responses that are not streams: the number of output tokens
 }
 
-// HeaderCodec is a Codec for dialects that differ in their header names only.
+// HeaderCodec is a Codec for dialects that differ only in their header names.
 type HeaderCodec struct {
 	Names HeaderNames
 }
 
 var _ Codec = HeaderCodec{}
 
-// mostUrgent and leastUrgent bound what servers take as a rank.
+// Priorities that backend servers accept.
 const (
-	mostUrgent  = 0
-	leastUrgent = 9
+	highestPriority = 0
+	lowestPriority  = 9
 )
 
 // AppendHead implements Codec.
@@ -61,7 +62,7 @@
 		buf = appendField(buf, c.Names.Account, r.Account.Name)
 	}
 	if r.HasTokenUsage {
-		buf = appendField(buf, c.Names.Priority, strconv.Itoa(min(max(r.Priority(), mostUrgent), leastUrgent)))
+		buf = appendField(buf, c.Names.Priority, strconv.Itoa(min(max(r.Priority(), highestPriority), lowestPriority)))
 	}
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
 		buf = appendField(buf, "Content-Length", strconv.Itoa(len(r.Body)))
@@ -81,23 +82,23 @@
 	meta := Meta{
 		RequestID:   header.Get(c.Names.RequestID),
 		NotExecuted: header.Get(c.Names.NotExecuted) != "",
-		KeepAlive:   keepAlive(header.Get("Keep-Alive")),
+		KeepAlive:   parseKeepAlive(header.Get("Keep-Alive")),
 	}
 	meta.Load, meta.HasLoad = parseLoad(header.Get(c.Names.Load))
 	if c.Names.Cold != "" {
-		meta.ColdFor = parseCold(header.Get(c.Names.Cold))
+		meta.ColdFor = parseColdTime(header.Get(c.Names.Cold))
 	}
 	if c.Names.RateLimit != "" {
 		meta.RateLimit = parseRateLimit(header.Values(c.Names.RateLimit))
 	}
 	if c.Names.OutputTokens != "" {
-		meta.OutputTokens = outputOf(header.Get(c.Names.OutputTokens))
+		meta.OutputTokens = parseOutputTokens(header.Get(c.Names.OutputTokens))
 	}
 	return meta
 }
 
-// outputOf reads the output tokens of a whole answer.
-func outputOf(value string) int {
+// parseOutputTokens returns OutputUnknown if the value is not a number.
+func parseOutputTokens(value string) int {
 	numbers, ok := ParseNumbers(value, 1)
 	if !ok {
 		return OutputUnknown
@@ -105,20 +106,21 @@
 	return numbers[0]
 }
 
-// coldLongest bounds what a header can say.
-const coldLongest = time.Hour
+// maxColdTime bounds the cold time that a server can report.
+const maxColdTime = time.Hour
 
-// parseCold reads a time in ms; zero if it is none.
-func parseCold(value string) time.Duration {
+// parseColdTime parses a number of milliseconds. It returns zero if the value is not a positive
+// number.
+func parseColdTime(value string) time.Duration {
 	ms, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(ms > 0) {
 		return 0
 	}
-	return time.Duration(min(ms, float64(coldLongest.Milliseconds())) * float64(time.Millisecond))
+	return time.Duration(min(ms, float64(maxColdTime.Milliseconds())) * float64(time.Millisecond))
 }
 
-// parseRateLimit reads the values of a header with a decimal number. Of several the lowest
-// counts.
+// parseRateLimit parses header values that are decimal numbers. The lowest of several values
+// applies.
 func parseRateLimit(values []string) fleet.RateLimit {
 	limit := fleet.RateLimit{}
 	for _, value := range values {
@@ -133,7 +135,7 @@
 	return limit
 }
 
-// parseLoad reads "running,waiting,slots".
+// parseLoad parses "running,waiting,slots".
 func parseLoad(value string) (fleet.Load, bool) {
 	numbers, ok := ParseNumbers(value, 3)
 	if !ok {
@@ -142,7 +144,7 @@
 	return fleet.Load{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}, true
 }
 
-// ParseNumbers reads exactly n comma-separated numbers that are not negative.
+// ParseNumbers parses exactly n comma-separated non-negative integers.
 func ParseNumbers(value string, n int) ([]int, bool) {
 	fields := strings.Split(value, ",")
 	if len(fields) != n {
@@ -159,8 +161,8 @@
 	return numbers, true
 }
 
-// keepAlive reads the timeout of a Keep-Alive header; 0 if it has none.
-func keepAlive(value string) time.Duration {
+// parseKeepAlive returns the timeout parameter of a Keep-Alive header, or zero if it has none.
+func parseKeepAlive(value string) time.Duration {
 	for _, parameter := range strings.Split(value, ",") {
 		name, seconds, found := strings.Cut(strings.TrimSpace(parameter), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -9,23 +9,24 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// pool keeps the idle connections of one backend server; the last used goes first,
-// so that few stay open.
+// pool contains the idle connections to one backend server. The most recently used one is taken
+// first, so that unneeded connections expire.
 type pool struct {
 	mu   sync.Mutex
 	idle []*conn
 }
 
+// take returns an idle connection that can be used, or nil.
 func (p *pool) take(now time.Time) *conn {
 	for {
 		c := p.pop()
 		if c == nil {
 			return nil
 		}
-		if now.Before(c.expires) && c.quiet() {
+		if now.Before(c.expiresAt) && c.isQuiet() {
 			return c
 		}
-		_ = c.Close() // it carries nothing; there is no one to tell
+		_ = c.Close() // no request is under way on it
 	}
 }
 
@@ -47,53 +48,54 @@
 	p.idle = append(p.idle, c)
 }
 
-// expire closes what is past its time and says whether any connection is left.
+// expire closes expired connections and reports whether any connection is left.
 func (p *pool) expire(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if now.Before(c.expires) {
+		if now.Before(c.expiresAt) {
 			kept = append(kept, c)
 			continue
 		}
-		_ = c.Close() // idle: nothing is lost with it
+		_ = c.Close() // no request is under way on it
 	}
 	p.idle = kept
 	return len(kept) > 0
 }
 
-// Client holds the connections to all backend servers.
+// Client sends requests to backend servers and pools its connections to them. It is safe for
+// concurrent use.
 type Client struct {
 	codec Codec
 	dials prometheus.Counter
 
 	mu    sync.Mutex
-	pools map[string]*pool // by start of the server
+	pools map[string]*pool // by incarnation of the server
 }
 
-// NewClient makes a client. Each dial counts in dials.
+// NewClient returns a client that counts the connections that it opens in dials.
 func NewClient(codec Codec, dials prometheus.Counter) *Client {
 	return &Client{codec: codec, dials: dials, pools: make(map[string]*pool)}
 }
 
-func (c *Client) pool(server string) *pool {
+func (c *Client) pool(incarnation string) *pool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.pools[server]
+	p := c.pools[incarnation]
 	if p == nil {
 		p = &pool{}
-		c.pools[server] = p
+		c.pools[incarnation] = p
 	}
 	return p
 }
 
-// sweepEvery is short beside the idle times of connections.
-const sweepEvery = time.Second
+// sweepInterval is shorter than the idle times of connections.
+const sweepInterval = time.Second
 
-// Run closes idle connections that are past their time, until ctx ends.
+// Run closes expired idle connections. It returns when ctx ends.
 func (c *Client) Run(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -108,16 +110,16 @@
 func (c *Client) sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for server, p := range c.pools {
+	for incarnation, p := range c.pools {
 		if !p.expire(now) {
-			delete(c.pools, server)
+			delete(c.pools, incarnation)
 		}
 	}
 }
 
 // connect returns an idle connection or a new one.
-func (c *Client) connect(ctx context.Context, server, address string) (*conn, error) {
-	if idle := c.pool(server).take(time.Now()); idle != nil {
+func (c *Client) connect(ctx context.Context, incarnation, address string) (*conn, error) {
+	if idle := c.pool(incarnation).take(time.Now()); idle != nil {
 		return idle, nil
 	}
 	c.dials.Inc()
@@ -125,5 +127,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
