--- a/cmd/chicoryctl/main.go
+++ b/cmd/chicoryctl/main.go
@@ -12,7 +12,7 @@
 )
 
 func main() {
-	streams := ctl.IO{In: os.Stdin, Out: os.Stdout, Err: os.Stderr}
+	streams := ctl.Streams{In: os.Stdin, Out: os.Stdout, Err: os.Stderr}
 	open := func(address string) store.Store { return platform.NewStore(address) }
 	os.Exit(ctl.Run(version.Version, os.Args[1:], streams, open))
 }
--- a/internal/ctl/app.go
+++ b/internal/ctl/app.go
@@ -24,34 +24,34 @@
 
 // Exit codes of chicoryctl. They are part of its interface.
 const (
-	ExitOK          = 0
-	ExitFailed      = 1 // anything not listed below
-	ExitUsage       = 2 // wrong command line or unreadable file
-	ExitNotFound    = 3
-	ExitConflict    = 4 // another operator's change came first
-	ExitInvalid     = 5 // rejected as invalid; nothing changed
-	ExitNotYetKnown = 6 // may have taken effect; repeat it, a top-up with the same --id
-	ExitUnreachable = 7 // the store didn't answer; nothing changed
+	ExitOK             = 0
+	ExitFailed         = 1 // anything not listed below
+	ExitUsage          = 2 // wrong command line or unreadable file
+	ExitNotFound       = 3
+	ExitConflict       = 4 // another operator's change came first
+	ExitInvalid        = 5 // rejected as invalid; nothing changed
+	ExitOutcomeUnknown = 6 // may have taken effect; repeat it, a top-up with the same --id
+	ExitUnreachable    = 7 // the store didn't answer; nothing changed
 )
 
 // exitHelp documents the exit codes in the program's help.
 const exitHelp = `Exit codes: 0 done; 1 failed otherwise; 2 wrong usage; 3 not found; 4 conflict with another change; ` +
 	`5 rejected as invalid; 6 outcome not yet known (repeat it, a top-up with the same --id); 7 the store could not be reached.`
 
-// IO is what a run reads and writes.
-type IO struct {
+// Streams is what a run reads and writes.
+type Streams struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
 }
 
-// Open connects to the store at an IP:port address.
-type Open func(address string) store.Store
+// OpenStoreFunc connects to the store at an IP:port address.
+type OpenStoreFunc func(address string) store.Store
 
 // app holds the flags of one run.
 type app struct {
-	io      IO
-	open    Open
+	io      Streams
+	open    OpenStoreFunc
 	store   string
 	json    bool
 	timeout time.Duration
@@ -62,7 +62,7 @@
 
 // Run runs one command and gives the exit code. Help and version end the process, as
 // kingpin does.
-func Run(version string, args []string, io IO, open Open) int {
+func Run(version string, args []string, io Streams, open OpenStoreFunc) int {
 	a := &app{io: io, open: open}
 	cli := kingpin.New("chicoryctl", "Operates a chicorytiller router fleet through its store. "+exitHelp)
 	cli.Version(version)
@@ -105,12 +105,12 @@
 		return ExitUsage
 	case errors.Is(err, operate.ErrNotFound):
 		return ExitNotFound
-	case errors.Is(err, operate.ErrRaced):
+	case errors.Is(err, operate.ErrConflict):
 		return ExitConflict
 	case errors.Is(err, operate.ErrInvalid), errors.Is(err, native.ErrInvalidDocument):
 		return ExitInvalid
 	case errors.Is(err, store.ErrOutcomeUnknown):
-		return ExitNotYetKnown
+		return ExitOutcomeUnknown
 	case errors.Is(err, store.ErrUnavailable):
 		return ExitUnreachable
 	}
--- a/internal/ctl/budget.go
+++ b/internal/ctl/budget.go
@@ -46,7 +46,7 @@
 }
 
 func (a *app) budget(ctx context.Context, s store.Store, account id.ClientAccount) error {
-	b, err := operate.BudgetOf(ctx, s, account)
+	b, err := operate.BudgetStatement(ctx, s, account)
 	if err != nil {
 		return err
 	}
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -31,7 +31,7 @@
 // run gives the exit code and what was printed, errors included.
 func (o *operator) run(stdin string, args ...string) (int, string) {
 	var out bytes.Buffer
-	code := Run("test", args, IO{In: strings.NewReader(stdin), Out: &out, Err: &out}, func(string) store.Store { return o.store })
+	code := Run("test", args, Streams{In: strings.NewReader(stdin), Out: &out, Err: &out}, func(string) store.Store { return o.store })
 	return code, out.String()
 }
 
@@ -136,7 +136,7 @@
 	o.store.SetDown(false)
 	o.store.SetOutcome(func(store.Txn) memstore.Outcome { return memstore.ResponseLost })
 	code, _ = o.run(document(unchanged), "config", "apply", "-")
-	o.Check(code, qt.Equals, ExitNotYetKnown)
+	o.Check(code, qt.Equals, ExitOutcomeUnknown)
 	code, out := o.run("", "key", "new")
 	o.Check(code, qt.Equals, ExitOK)
 	o.Check(out, qt.Contains, "ck_")
--- a/internal/ctl/domain.go
+++ b/internal/ctl/domain.go
@@ -25,7 +25,7 @@
 }
 
 func (a *app) evacuated(ctx context.Context, s store.Store) error {
-	domains, err := operate.Evacuated(ctx, s)
+	domains, err := operate.EvacuatedDomains(ctx, s)
 	if err != nil {
 		return err
 	}
--- a/internal/operate/budgets.go
+++ b/internal/operate/budgets.go
@@ -13,41 +13,42 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Statement is a budget's statement beside what was paid.
+// Statement is the statement of an account's budget, with the tokens that were prepaid.
 type Statement struct {
 	Prepaid int64 `json:"prepaid"`
 	escrow.Statement
 }
 
-// BudgetOf tells what became of one account's tokens.
-func BudgetOf(ctx context.Context, s store.Store, account id.ClientAccount) (Statement, error) {
+// BudgetStatement returns how many of an account's prepaid tokens are spent, free or in
+// doubt, and which routers hold the rest.
+func BudgetStatement(ctx context.Context, s store.Store, account id.ClientAccount) (Statement, error) {
 	d, _, err := Document(ctx, s)
 	if err != nil {
 		return Statement{}, err
 	}
-	c := contractOf(d, account)
+	c := findContract(d, account)
 	if c == nil {
-		return Statement{}, errors.Wrapf(ErrNotFound, "the account %q", account)
+		return Statement{}, errors.Wrapf(ErrNotFound, "account %q", account)
 	}
 	snapshot, err := s.Read(ctx, node.BudgetPrefix)
 	if err != nil {
 		return Statement{}, err
 	}
 	statement, err := escrow.StatementOf(snapshot.Items, node.BudgetPrefix, string(account), int64(c.Prepaid))
-	return Statement{Prepaid: int64(c.Prepaid), Statement: statement}, errors.Wrapf(err, "the budget of %q", account)
+	return Statement{Prepaid: int64(c.Prepaid), Statement: statement}, errors.Wrapf(err, "budget of account %q", account)
 }
 
-// Budget is what is known of an account's tokens. Spent lags behind by some seconds;
-// Granted, which bounds it, doesn't.
+// Budget summarizes an account's tokens. Spent lags a few seconds behind the actual use;
+// Granted is up to date and is never exceeded by it.
 type Budget struct {
 	Account string `json:"account"`
 	Prepaid int64  `json:"prepaid"`
-	Spent   int64  `json:"spent"`   // at least
-	Granted int64  `json:"granted"` // given out to routers, with all that was spent
-	Holders int    `json:"holders"` // routers that hold some of it
+	Spent   int64  `json:"spent"`   // lower bound
+	Granted int64  `json:"granted"` // granted to routers, including all spent tokens
+	Holders int    `json:"holders"` // number of VMs whose routers hold grants
 }
 
-// Budgets lists the budgets by account.
+// Budgets returns the budgets of all accounts, sorted by account name.
 func Budgets(ctx context.Context, s store.Store) ([]Budget, error) {
 	d, _, err := Document(ctx, s)
 	if err != nil {
--- a/internal/operate/evacuate.go
+++ b/internal/operate/evacuate.go
@@ -11,9 +11,10 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Evacuate orders that a failure domain's backend servers get nothing new until Restore.
-// A repeat changes nothing. A domain without any backend server is taken for a misspelled
-// one: an operator who thinks that it is empty may then switch the wrong one off.
+// Evacuate stops new requests to the backend servers of a failure domain until Restore is
+// called. Repeating it has no effect. It returns ErrNotFound for a domain without backend
+// servers, because the name is probably misspelled: after a false success an operator
+// might switch off a domain that still serves requests.
 func Evacuate(ctx context.Context, s store.Store, domain string) error {
 	entries, err := Backends(ctx, s)
 	if err != nil {
@@ -25,12 +26,12 @@
 			return err
 		}
 	}
-	return errors.Wrapf(ErrNotFound, "a backend server in the failure domain %q", domain)
+	return errors.Wrapf(ErrNotFound, "backend servers in failure domain %q", domain)
 }
 
-// Restore takes the order to evacuate a failure domain back.
+// Restore ends the evacuation of a failure domain.
 func Restore(ctx context.Context, s store.Store, domain string) error {
-	evacuated, err := Evacuated(ctx, s)
+	evacuated, err := EvacuatedDomains(ctx, s)
 	if err != nil {
 		return err
 	}
@@ -40,11 +41,11 @@
 			return err
 		}
 	}
-	return errors.Wrapf(ErrNotFound, "an order to evacuate the failure domain %q", domain)
+	return errors.Wrapf(ErrNotFound, "evacuation of failure domain %q", domain)
 }
 
-// Evacuated lists the failure domains that are to get nothing, by name.
-func Evacuated(ctx context.Context, s store.Store) ([]string, error) {
+// EvacuatedDomains returns the names of the evacuated failure domains in sorted order.
+func EvacuatedDomains(ctx context.Context, s store.Store) ([]string, error) {
 	snapshot, err := s.Read(ctx, native.EvacuatePrefix)
 	if err != nil {
 		return nil, err
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -1,6 +1,7 @@
-// Package operate is what operators do with a fleet on its own interface: they change
-// the document, register backend servers and look at budgets and routers. All of it
-// goes through the store; no router has to be reached.
+// Package operate implements the operator actions on a fleet that uses the native
+// interface: changing the configuration document, registering backend servers, evacuating
+// failure domains, and listing budgets and routers. All actions go through the store; no
+// router needs to be reachable.
 package operate
 
 import (
@@ -17,21 +18,22 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Errors of operators' actions.
 var (
-	// ErrInvalid: what was given can't be used; nothing was changed.
+	// ErrInvalid is returned for invalid input. Nothing was changed.
 	ErrInvalid = errors.New("operate: invalid")
-	// ErrRaced: another operator changed the document meanwhile; nothing was changed.
-	ErrRaced = errors.New("operate: changed by someone else meanwhile")
-	// ErrNotFound: the document doesn't have what was named.
+	// ErrConflict is returned if another operator made a conflicting change at the same
+	// time. Nothing was changed.
+	ErrConflict = errors.New("operate: conflicting change by another operator")
+	// ErrNotFound is returned if the named object does not exist.
 	ErrNotFound = errors.New("operate: not found")
 )
 
-// paymentsKept bounds the payments that a contract remembers: a repeat of one comes
-// soon or never.
-const paymentsKept = 100
+// maxRecordedPayments is how many payment IDs a contract keeps to detect repeated top-ups.
+// Only the latest are needed, because a top-up is repeated shortly after it fails.
+const maxRecordedPayments = 100
 
-// Document reads the document in force with its revision; an empty one if none is.
+// Document returns the current configuration document and its revision, or an empty
+// document and revision 0 if there is none.
 func Document(ctx context.Context, s store.Store) (*native.Document, store.Revision, error) {
 	snapshot, err := s.Read(ctx, native.ConfigKey)
 	if err != nil {
@@ -46,9 +48,9 @@
 	return &native.Document{}, 0, nil
 }
 
-// Apply puts a document in the place of the one at a revision. Its version is set to
-// the next one.
-func Apply(ctx context.Context, s store.Store, d *native.Document, at store.Revision) error {
+// Apply increments d.Version and stores d, provided that the stored document still has the
+// given revision. Otherwise it returns ErrConflict.
+func Apply(ctx context.Context, s store.Store, d *native.Document, revision store.Revision) error {
 	if err := d.Validate(); err != nil {
 		return errors.Wrap(ErrInvalid, err.Error())
 	}
@@ -58,56 +60,58 @@
 		return errors.Wrap(ErrInvalid, err.Error())
 	}
 	_, err = s.Commit(ctx, store.Txn{
-		Conditions: []store.Condition{{Key: native.ConfigKey, Revision: at}},
+		Conditions: []store.Condition{{Key: native.ConfigKey, Revision: revision}},
 		Puts:       []store.Put{{Key: native.ConfigKey, Value: data}},
 	})
 	if errors.Is(err, store.ErrConflict) {
-		return errors.Wrap(ErrRaced, "the document")
+		return errors.Wrap(ErrConflict, "configuration document")
 	}
 	return err
 }
 
-// Replace puts a new document in force, whatever the present one says; budgets that
-// were topped up meanwhile are not to be forgotten, so payments must be the same.
+// Replace stores d in place of the current document, whatever its revision. So that no
+// top-up is lost, it returns ErrConflict if the payments of a contract differ between the
+// two documents.
 func Replace(ctx context.Context, s store.Store, d *native.Document) error {
-	present, at, err := Document(ctx, s)
+	current, revision, err := Document(ctx, s)
 	if err != nil {
 		return err
 	}
-	for i := range present.Contracts {
-		old := &present.Contracts[i]
-		next := contractOf(d, old.Account)
-		if next != nil && !slices.Equal(next.Payments, old.Payments) {
-			return errors.Wrapf(ErrRaced, "the payments of %q", old.Account)
+	for i := range current.Contracts {
+		oldContract := &current.Contracts[i]
+		newContract := findContract(d, oldContract.Account)
+		if newContract != nil && !slices.Equal(newContract.Payments, oldContract.Payments) {
+			return errors.Wrapf(ErrConflict, "payments of account %q", oldContract.Account)
 		}
 	}
-	d.Version = max(d.Version, present.Version)
-	return Apply(ctx, s, d, at)
+	d.Version = max(d.Version, current.Version)
+	return Apply(ctx, s, d, revision)
 }
 
-// TopUp adds prepaid tokens. The same payment counts once however often it is sent.
+// TopUp adds prepaid tokens to an account and returns the new total. It is idempotent:
+// a payment ID that was already recorded adds nothing.
 func TopUp(ctx context.Context, s store.Store, account id.ClientAccount, tokens id.Tokens, payment string) (id.Tokens, error) {
 	if tokens <= 0 || payment == "" {
-		return 0, errors.Wrap(ErrInvalid, "a top-up needs tokens above 0 and the payment's id")
+		return 0, errors.Wrap(ErrInvalid, "a top-up needs a positive number of tokens and a payment ID")
 	}
-	d, at, err := Document(ctx, s)
+	d, revision, err := Document(ctx, s)
 	if err != nil {
 		return 0, err
 	}
-	c := contractOf(d, account)
+	c := findContract(d, account)
 	if c == nil {
-		return 0, errors.Wrapf(ErrNotFound, "the account %q", account)
+		return 0, errors.Wrapf(ErrNotFound, "account %q", account)
 	}
 	if slices.Contains(c.Payments, payment) {
 		return c.Prepaid, nil
 	}
 	c.Prepaid += tokens
 	c.Payments = append(c.Payments, payment)
-	c.Payments = c.Payments[max(0, len(c.Payments)-paymentsKept):]
-	return c.Prepaid, Apply(ctx, s, d, at)
+	c.Payments = c.Payments[max(0, len(c.Payments)-maxRecordedPayments):]
+	return c.Prepaid, Apply(ctx, s, d, revision)
 }
 
-func contractOf(d *native.Document, account id.ClientAccount) *contract.Contract {
+func findContract(d *native.Document, account id.ClientAccount) *contract.Contract {
 	for i := range d.Contracts {
 		if d.Contracts[i].Account == account {
 			return &d.Contracts[i]
@@ -116,7 +120,8 @@
 	return nil
 }
 
-// Register writes a backend server's entries and removes those it had before.
+// Register writes the store entries of a backend server and deletes its earlier ones that
+// no longer apply.
 func Register(ctx context.Context, s store.Store, b contract.BackendServer) error {
 	if err := b.Validate(); err != nil {
 		return errors.Wrap(ErrInvalid, err.Error())
@@ -124,7 +129,7 @@
 	return replaceEntries(ctx, s, string(b.ID), native.BackendEntries(b))
 }
 
-// Unregister removes a backend server's entries.
+// Unregister deletes the store entries of a backend server.
 func Unregister(ctx context.Context, s store.Store, backend string) error {
 	return replaceEntries(ctx, s, backend, nil)
 }
@@ -136,7 +141,7 @@
 	}
 	txn := store.Txn{}
 	for _, item := range snapshot.Items {
-		if _, kept := entries[item.Key]; !kept {
+		if _, keep := entries[item.Key]; !keep {
 			txn.Deletes = append(txn.Deletes, item.Key)
 		}
 	}
@@ -147,7 +152,7 @@
 	return err
 }
 
-// Backends lists the backend servers' entries.
+// Backends returns the store entries of all backend servers.
 func Backends(ctx context.Context, s store.Store) ([]native.BackendEntry, error) {
 	snapshot, err := s.Read(ctx, native.BackendsPrefix)
 	if err != nil {
@@ -164,14 +169,14 @@
 	return entries, nil
 }
 
-// Drain marks all entries of a backend server as leaving: it gets no new requests.
+// Drain marks all entries of a backend server as leaving, so that it gets no new requests.
 func Drain(ctx context.Context, s store.Store, backend string) error {
 	snapshot, err := s.Read(ctx, native.BackendsPrefix+backend+"/")
 	if err != nil {
 		return err
 	}
 	if len(snapshot.Items) == 0 {
-		return errors.Wrapf(ErrNotFound, "the backend server %q", backend)
+		return errors.Wrapf(ErrNotFound, "backend server %q", backend)
 	}
 	txn := store.Txn{}
 	for _, item := range snapshot.Items {
@@ -185,12 +190,12 @@
 	}
 	_, err = s.Commit(ctx, txn)
 	if errors.Is(err, store.ErrConflict) {
-		return errors.Wrapf(ErrRaced, "the backend server %q", backend)
+		return errors.Wrapf(ErrConflict, "backend server %q", backend)
 	}
 	return err
 }
 
-// Routers lists the routers that live, by their entries.
+// Routers returns the entries of the live routers.
 func Routers(ctx context.Context, s store.Store) ([]node.MemberRecord, error) {
 	snapshot, err := s.Read(ctx, node.MemberPrefix)
 	if err != nil {
