--- a/internal/peers/pack_test.go
+++ b/internal/peers/pack_test.go
@@ -75,8 +75,8 @@
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	listener := &countingListener{Listener: raw}
-	defer func() { _ = listener.Close() }()                                                    // the test is over
-	go func() { _ = Serve(listener, &fakeLender{}, feedState{feed: feed}, event.Discard()) }() // ends with its listener
+	defer func() { _ = listener.Close() }()                                                    // a failed close does not matter here
+	go func() { _ = Serve(listener, &fakeLender{}, feedState{feed: feed}, event.Discard()) }() // returns when the listener is closed
 	client := NewClient("p1", func() []string { return nil }, event.Discard())
 	var answer FollowAnswer
 	for answer.Snapshot.At == 0 {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -50,9 +50,9 @@
 func startPeer(t *testing.T, tokens int64) (*fakeLender, string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(func() { _ = listener.Close() }) // the test is over
+	t.Cleanup(func() { _ = listener.Close() }) // a failed close does not matter here
 	l := &fakeLender{tokens: tokens}
-	go func() { _ = Serve(listener, l, emptyState{}, event.Discard()) }() // ends with its listener
+	go func() { _ = Serve(listener, l, emptyState{}, event.Discard()) }() // returns when the listener is closed
 	return l, listener.Addr().String()
 }
 
@@ -116,9 +116,9 @@
 func TestMessagesCarryLamportClock(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(func() { _ = listener.Close() }) // the test is over
+	t.Cleanup(func() { _ = listener.Close() }) // a failed close does not matter here
 	lenderLog, borrowerLog := event.Discard(), event.Discard()
-	go func() { _ = Serve(listener, &fakeLender{tokens: 9}, emptyState{}, lenderLog) }() // ends with its listener
+	go func() { _ = Serve(listener, &fakeLender{tokens: 9}, emptyState{}, lenderLog) }() // returns when the listener is closed
 	borrowerLog.Observe(100)
 	c := NewClient("p1", func() []string { return nil }, borrowerLog)
 	got := c.BorrowFrom(context.Background(), listener.Addr().String(), "a", 5, "").Tokens
--- a/internal/peers/silence_test.go
+++ b/internal/peers/silence_test.go
@@ -30,9 +30,9 @@
 func startBlockingPeer(t *testing.T) (*blockingLender, string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(func() { _ = listener.Close() }) // the test is over
+	t.Cleanup(func() { _ = listener.Close() }) // a failed close does not matter here
 	l := &blockingLender{fakeLender: fakeLender{tokens: 1000}, entered: make(chan struct{}, 1), release: make(chan struct{})}
-	go func() { _ = Serve(listener, l, emptyState{}, event.Discard()) }() // ends with its listener
+	go func() { _ = Serve(listener, l, emptyState{}, event.Discard()) }() // returns when the listener is closed
 	return l, listener.Addr().String()
 }
 
--- a/internal/upstream/ratelimit_test.go
+++ b/internal/upstream/ratelimit_test.go
@@ -9,27 +9,28 @@
 	"chicorytiller.example/chicorytiller/internal/fleet"
 )
 
-// Guards against limits that are misread: nonsense taken for a rate, or for the limit's end.
-func TestRateLimitsAreRead(t *testing.T) {
-	named := func(perSecond float64) fleet.RateLimit {
+// An invalid header value must be taken neither for a rate nor for a missing header, which means
+// that the limit has ended.
+func TestParseRateLimit(t *testing.T) {
+	present := func(perSecond float64) fleet.RateLimit {
 		return fleet.RateLimit{State: fleet.LimitPresent, PerSecond: perSecond}
 	}
-	unreadable := fleet.RateLimit{State: fleet.LimitInvalid}
+	invalid := fleet.RateLimit{State: fleet.LimitInvalid}
 	for _, c := range []struct {
 		values []string
 		want   fleet.RateLimit
 	}{
 		{nil, fleet.RateLimit{}},
-		{[]string{"1.2"}, named(1.2)},
-		{[]string{" 0.3 "}, named(0.3)},
-		{[]string{"0"}, named(0)},
-		{[]string{"3", "1.5"}, named(1.5)},
-		{[]string{""}, unreadable},
-		{[]string{"-1"}, unreadable},
-		{[]string{"NaN"}, unreadable},
-		{[]string{"Inf"}, unreadable},
-		{[]string{"a few"}, unreadable},
-		{[]string{"2, 1"}, unreadable},
+		{[]string{"1.2"}, present(1.2)},
+		{[]string{" 0.3 "}, present(0.3)},
+		{[]string{"0"}, present(0)},
+		{[]string{"3", "1.5"}, present(1.5)},
+		{[]string{""}, invalid},
+		{[]string{"-1"}, invalid},
+		{[]string{"NaN"}, invalid},
+		{[]string{"Inf"}, invalid},
+		{[]string{"a few"}, invalid},
+		{[]string{"2, 1"}, invalid},
 	} {
 		codec := HeaderCodec{Names: HeaderNames{RateLimit: "X-Rate"}}
 		header := http.Header{"X-Rate": c.values}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -22,41 +22,41 @@
 var codec = HeaderCodec{Names: HeaderNames{RequestID: "X-Id", ServerID: "X-Server", TimeLeft: "X-Left", LastEventID: "Last-Event-Id",
 	Account: "X-Account", Priority: "X-Urgency", NotExecuted: "X-Not-Run", Load: "X-Load"}}
 
-// closing at the end of an answer closes the connection behind it.
-const closing = "\x00"
-
-// backend answers each connection's requests with bytes of the test's own, one after the
-// other.
-type backend struct {
-	server      *fleet.Server
-	connections chan struct{} // one for each that was opened
+// closeAfter at the end of a response makes the fakeBackend close the connection after it.
+const closeAfter = "\x00"
+
+// fakeBackend answers each request with the next of the responses that the test passed to
+// startBackend, which may be any bytes.
+type fakeBackend struct {
+	server   *fleet.Server
+	accepted chan struct{} // receives a value for each accepted connection
 }
 
-func startBackend(t *testing.T, answers ...string) *backend {
+func startBackend(t *testing.T, responses ...string) *fakeBackend {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(func() { _ = listener.Close() }) // the test is over
-	b := &backend{connections: make(chan struct{}, 16)}
+	t.Cleanup(func() { _ = listener.Close() }) // a failed close does not matter here
+	b := &fakeBackend{accepted: make(chan struct{}, 16)}
 	b.server = fleet.NewServer(fleet.Entry{ID: "s1", Address: listener.Addr().String()})
-	script := make(chan string, len(answers))
-	for _, answer := range answers {
-		script <- answer
+	script := make(chan string, len(responses))
+	for _, response := range responses {
+		script <- response
 	}
-	go func() { // ends with its listener
+	go func() { // returns when the listener is closed
 		for {
 			connection, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			b.connections <- struct{}{}
-			go play(connection, script)
+			b.accepted <- struct{}{}
+			go serveScript(connection, script)
 		}
 	}()
 	return b
 }
 
-func play(connection net.Conn, script <-chan string) {
-	defer func() { _ = connection.Close() }() // the script is over
+func serveScript(connection net.Conn, script <-chan string) {
+	defer func() { _ = connection.Close() }() // a failed close does not matter here
 	reader := bufio.NewReader(connection)
 	for {
 		r, err := http.ReadRequest(reader)
@@ -66,8 +66,8 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		answer, last := strings.CutSuffix(<-script, closing)
-		if _, err := io.WriteString(connection, answer); err != nil || last {
+		response, last := strings.CutSuffix(<-script, closeAfter)
+		if _, err := io.WriteString(connection, response); err != nil || last {
 			return
 		}
 	}
@@ -77,8 +77,8 @@
 	return NewClient(codec, prometheus.NewCounter(prometheus.CounterOpts{Name: "dials"}))
 }
 
-// ask sends a request and reads its whole answer.
-func (b *backend) ask(c *Client, id string) (string, error) {
+// do sends a request with the given ID and returns the body of the response.
+func (b *fakeBackend) do(c *Client, id string) (string, error) {
 	r := &request.Request{ID: id, Method: http.MethodPost, Host: "h", RequestURI: "/x", Body: []byte("body")}
 	reply, err := c.Do(context.Background(), &Attempt{Request: r, Server: b.server})
 	if err != nil {
@@ -89,11 +89,11 @@
 	return string(body), err
 }
 
-func answer(id, body string) string {
+func response(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\nContent-Length: 2\r\n\r\n" + body
 }
 
-func TestHeadCarriesWhatTheServerMustKnow(t *testing.T) {
+func TestAppendHead(t *testing.T) {
 	r := &request.Request{ID: "r1", Method: http.MethodPost, Host: "h", RequestURI: "/x?y=1", Body: []byte("abc"), HasTokenUsage: true,
 		Headers: []request.HeaderField{{Name: "A", Value: "b"}}, Account: &policy.Account{Name: "boatyard", Priority: 12, HasPriority: true}}
 	a := &Attempt{Request: r, Server: fleet.NewServer(fleet.Entry{ID: "s1"}), Timeout: 1500 * time.Millisecond, Resume: true, ResumeAfter: 7}
@@ -101,7 +101,7 @@
 		"X-Left: 1500\r\nLast-Event-Id: 7\r\nX-Account: boatyard\r\nX-Urgency: 9\r\nContent-Length: 3\r\n\r\n")
 }
 
-func TestMetaIsReadOrLeftOut(t *testing.T) {
+func TestParseMeta(t *testing.T) {
 	meta := codec.ParseMeta(200, http.Header{"X-Id": {"r1"}, "X-Load": {"3, 0,8"}, "X-Not-Run": {"1"}, "Keep-Alive": {"max=9, timeout=5"}})
 	qt.Assert(t, meta, qt.Equals, Meta{RequestID: "r1", NotExecuted: true, Load: fleet.Load{Running: 3, Slots: 8}, HasLoad: true, KeepAlive: 5 * time.Second})
 	for _, load := range []string{"", "1,2", "1,2,x", "1,2,-3", "1,2,3,4"} {
@@ -109,78 +109,79 @@
 	}
 }
 
-// One connection serves requests one after the other.
-func TestCleanConnectionIsUsedAgain(t *testing.T) {
-	b := startBackend(t, answer("r1", "ok"), answer("r2", "ok"))
+// Requests that follow each other use one connection.
+func TestConnectionIsReused(t *testing.T) {
+	b := startBackend(t, response("r1", "ok"), response("r2", "ok"))
 	c := newClient()
 	for _, id := range []string{"r1", "r2"} {
-		body, err := b.ask(c, id)
+		body, err := b.do(c, id)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, body, qt.Equals, "ok")
 	}
-	qt.Assert(t, b.connections, qt.HasLen, 1)
+	qt.Assert(t, b.accepted, qt.HasLen, 1)
 }
 
-// Guards against a second answer that the next request takes for its own.
-func TestConnectionWithBytesLeftIsNotUsedAgain(t *testing.T) {
-	b := startBackend(t, answer("r1", "ok")+answer("r1", "no"), answer("r2", "ok"))
+// The next request must not take a second response to the first one for its own.
+func TestConnectionWithUnreadBytesIsNotReused(t *testing.T) {
+	b := startBackend(t, response("r1", "ok")+response("r1", "no"), response("r2", "ok"))
 	c := newClient()
-	_, err := b.ask(c, "r1")
+	_, err := b.do(c, "r1")
 	qt.Assert(t, err, qt.IsNil)
-	body, err := b.ask(c, "r2")
+	body, err := b.do(c, "r2")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, body, qt.Equals, "ok")
-	qt.Assert(t, b.connections, qt.HasLen, 2)
+	qt.Assert(t, b.accepted, qt.HasLen, 2)
 }
 
-// Guards against the rest of an answer that the next request takes for its own.
-func TestConnectionOfAnUnreadAnswerIsNotUsedAgain(t *testing.T) {
-	head, _ := strings.CutSuffix(answer("r1", "ok"), "ok") // the body is still to come
-	b := startBackend(t, head, answer("r2", "ok"))
+// The next request must not take the rest of an unread body for its response.
+func TestConnectionWithUnreadBodyIsNotReused(t *testing.T) {
+	head, _ := strings.CutSuffix(response("r1", "ok"), "ok") // the body is never sent
+	b := startBackend(t, head, response("r2", "ok"))
 	c := newClient()
 	r := &request.Request{ID: "r1", Method: http.MethodGet, Host: "h", RequestURI: "/x"}
 	reply, err := c.Do(context.Background(), &Attempt{Request: r, Server: b.server})
 	qt.Assert(t, err, qt.IsNil)
 	reply.Close()
-	_, err = b.ask(c, "r2")
+	_, err = b.do(c, "r2")
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, b.connections, qt.HasLen, 2)
+	qt.Assert(t, b.accepted, qt.HasLen, 2)
 }
 
-// Guards against another request's answer that comes first.
-func TestAnotherRequestsAnswerIsSkipped(t *testing.T) {
-	b := startBackend(t, answer("r0", "no")+answer("r1", "ok"), answer("r2", "ok"))
+// A response to another request that comes first is skipped; the connection is then not reused.
+func TestResponseToOtherRequestIsSkipped(t *testing.T) {
+	b := startBackend(t, response("r0", "no")+response("r1", "ok"), response("r2", "ok"))
 	c := newClient()
-	body, err := b.ask(c, "r1")
+	body, err := b.do(c, "r1")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, body, qt.Equals, "ok")
-	_, err = b.ask(c, "r2")
+	_, err = b.do(c, "r2")
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, b.connections, qt.HasLen, 2)
+	qt.Assert(t, b.accepted, qt.HasLen, 2)
 }
 
-// A body that ends before its stated length is an error, never a whole answer.
-func TestShortBodyIsNotWhole(t *testing.T) {
-	b := startBackend(t, "HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Length: 9\r\n\r\nhalf"+closing)
-	_, err := b.ask(newClient(), "r1")
+// A body that ends before its stated length must not pass for a complete one.
+func TestTruncatedBodyIsError(t *testing.T) {
+	b := startBackend(t, "HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Length: 9\r\n\r\nhalf"+closeAfter)
+	_, err := b.do(newClient(), "r1")
 	qt.Assert(t, err, qt.IsNotNil)
 }
 
-// Guards against taking a request that may have run for one that was not sent.
-func TestNotSentIsToldFromBroken(t *testing.T) {
+// A request that may have run must not be reported as not sent.
+func TestErrNotSentAndErrBroken(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	gone := &backend{server: fleet.NewServer(fleet.Entry{ID: "s1", Address: listener.Addr().String()})}
+	unreachable := &fakeBackend{server: fleet.NewServer(fleet.Entry{ID: "s1", Address: listener.Addr().String()})}
 	qt.Assert(t, listener.Close(), qt.IsNil)
-	_, err = gone.ask(newClient(), "r1")
+	_, err = unreachable.do(newClient(), "r1")
 	qt.Assert(t, errors.Is(err, ErrNotSent), qt.IsTrue)
-	_, err = startBackend(t, closing).ask(newClient(), "r1")
+	_, err = startBackend(t, closeAfter).do(newClient(), "r1")
 	qt.Assert(t, errors.Is(err, ErrBroken), qt.IsTrue)
 	qt.Assert(t, errors.Is(err, ErrNotSent), qt.IsFalse)
 }
 
-// Guards against a send to a server that said it leaves while the connection came about.
-func TestServerThatLeftIsNotSentTo(t *testing.T) {
+// A server may announce that it is leaving while the connection is opened; the request must then
+// not be sent.
+func TestNothingIsSentToLeavingServer(t *testing.T) {
 	b := startBackend(t)
 	b.server.MarkLeaving()
 	c := NewClient(codec, prometheus.NewCounter(prometheus.CounterOpts{}))
