--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -12,7 +12,7 @@
 	"chicorytiller.example/chicorytiller/internal/id"
 )
 
-func goodContract() *Contract {
+func validContract() *Contract {
 	return &Contract{
 		Account: "register", Keys: []KeyHash{HashKey("a"), HashKey("b")},
 		Prepaid:           1000,
@@ -23,11 +23,11 @@
 	}
 }
 
-func TestContractFaultsNameTheirField(t *testing.T) {
-	qt.Assert(t, goodContract().Validate(), qt.IsNil)
+func TestContractValidationNamesField(t *testing.T) {
+	qt.Assert(t, validContract().Validate(), qt.IsNil)
 	cases := []struct {
 		field  string
-		damage func(c *Contract)
+		modify func(c *Contract)
 	}{
 		{"account", func(c *Contract) { c.Account = "a/b" }},
 		{"keys[1]", func(c *Contract) { c.Keys[1] = "plain" }},
@@ -47,37 +47,37 @@
 		{"deadline_ms", func(c *Contract) { c.DeadlineMS = 0 }},
 	}
 	for _, test := range cases {
-		c := goodContract()
-		test.damage(c)
-		assertFault(t, c.Validate(), test.field)
+		c := validContract()
+		test.modify(c)
+		assertFieldError(t, c.Validate(), test.field)
 	}
 }
 
-func assertFault(t *testing.T, err error, field string) {
+func assertFieldError(t *testing.T, err error, field string) {
 	t.Helper()
 	var invalid *ValidationError
 	qt.Assert(t, errors.As(err, &invalid), qt.IsTrue, qt.Commentf("%s: %v", field, err))
-	for _, fault := range invalid.FieldErrors {
-		if fault.Field == field {
-			qt.Assert(t, fault.Want, qt.Not(qt.Equals), "")
+	for _, fieldErr := range invalid.FieldErrors {
+		if fieldErr.Field == field {
+			qt.Assert(t, fieldErr.Want, qt.Not(qt.Equals), "")
 			return
 		}
 	}
 	t.Fatalf("no fault names %s: %v", field, err)
 }
 
-func TestAllFaultsAreListed(t *testing.T) {
-	c := goodContract()
+func TestValidationListsAllFieldErrors(t *testing.T) {
+	c := validContract()
 	c.Burst, c.Priority, c.MaxTokens = 0, 11, 0
 	err := c.Validate()
 	for _, field := range []string{"burst", "priority", "max_tokens"} {
-		assertFault(t, err, field)
+		assertFieldError(t, err, field)
 	}
 	qt.Assert(t, err, qt.ErrorMatches,
 		`contract: contract "register" is invalid: burst must be 1 to 1000000, not 0; .*`)
 }
 
-func TestOtherObjectsFaultsNameTheirField(t *testing.T) {
+func TestOtherObjectsValidationNamesField(t *testing.T) {
 	engine := func() *BackendServer {
 		return &BackendServer{ID: "e1", Kind: KindEngine, Address: "10.0.0.1:80",
 			FailureDomain: "karlin", Models: []id.Model{"listing"}}
@@ -92,36 +92,36 @@
 	model := func() *Model {
 		return &Model{Name: "m", BytesPerToken: 1, ContextTokens: 1, TokensPerEvent: 1, Attempts: 1}
 	}
-	for _, good := range []interface{ Validate() error }{engine(), instance(), service(), model()} {
-		qt.Assert(t, good.Validate(), qt.IsNil)
+	for _, valid := range []interface{ Validate() error }{engine(), instance(), service(), model()} {
+		qt.Assert(t, valid.Validate(), qt.IsNil)
 	}
-	damagedEngine := func(damage func(*BackendServer)) error { b := engine(); damage(b); return b.Validate() }
-	damagedService := func(damage func(*Service)) error { s := service(); damage(s); return s.Validate() }
-	damagedModel := func(damage func(*Model)) error { m := model(); damage(m); return m.Validate() }
+	validateEngine := func(modify func(*BackendServer)) error { b := engine(); modify(b); return b.Validate() }
+	validateService := func(modify func(*Service)) error { s := service(); modify(s); return s.Validate() }
+	validateModel := func(modify func(*Model)) error { m := model(); modify(m); return m.Validate() }
 
-	assertFault(t, damagedEngine(func(b *BackendServer) { b.ID = "" }), "id")
-	assertFault(t, damagedEngine(func(b *BackendServer) { b.Kind = "gpu" }), "kind")
-	assertFault(t, damagedEngine(func(b *BackendServer) { b.Address = "engine.local:80" }), "address")
-	assertFault(t, damagedEngine(func(b *BackendServer) { b.Address = "10.0.0.1:0" }), "address")
-	assertFault(t, damagedEngine(func(b *BackendServer) { b.FailureDomain = "" }), "failure_domain")
-	assertFault(t, damagedEngine(func(b *BackendServer) { b.Models = nil }), "models")
-	assertFault(t, damagedEngine(func(b *BackendServer) { b.Models = []id.Model{"a", "a"} }), "models[1]")
-	assertFault(t, damagedEngine(func(b *BackendServer) { b.Service = "s" }), "service")
-	assertFault(t, damagedEngine(func(b *BackendServer) { b.Kind = KindService }), "service")
-	assertFault(t, damagedService(func(s *Service) { s.Name = "" }), "name")
-	assertFault(t, damagedService(func(s *Service) { s.NonIdempotent[1] = "orders" }), "non_idempotent[1]")
-	assertFault(t, damagedService(func(s *Service) { s.PricePerCall = -1 }), "price_per_call")
-	assertFault(t, damagedService(func(s *Service) { s.TimeoutMS = 0 }), "timeout_ms")
-	assertFault(t, damagedService(func(s *Service) { s.Attempts = 0 }), "attempts")
-	assertFault(t, damagedModel(func(m *Model) { m.Attempts = 11 }), "attempts")
-	assertFault(t, damagedModel(func(m *Model) { m.TokensPerEvent = 0 }), "tokens_per_event")
-	assertFault(t, damagedModel(func(m *Model) { m.Name = "" }), "name")
-	assertFault(t, damagedModel(func(m *Model) { m.BytesPerToken = 0 }), "bytes_per_token")
-	assertFault(t, damagedModel(func(m *Model) { m.ContextTokens = 0 }), "context_tokens")
+	assertFieldError(t, validateEngine(func(b *BackendServer) { b.ID = "" }), "id")
+	assertFieldError(t, validateEngine(func(b *BackendServer) { b.Kind = "gpu" }), "kind")
+	assertFieldError(t, validateEngine(func(b *BackendServer) { b.Address = "engine.local:80" }), "address")
+	assertFieldError(t, validateEngine(func(b *BackendServer) { b.Address = "10.0.0.1:0" }), "address")
+	assertFieldError(t, validateEngine(func(b *BackendServer) { b.FailureDomain = "" }), "failure_domain")
+	assertFieldError(t, validateEngine(func(b *BackendServer) { b.Models = nil }), "models")
+	assertFieldError(t, validateEngine(func(b *BackendServer) { b.Models = []id.Model{"a", "a"} }), "models[1]")
+	assertFieldError(t, validateEngine(func(b *BackendServer) { b.Service = "s" }), "service")
+	assertFieldError(t, validateEngine(func(b *BackendServer) { b.Kind = KindService }), "service")
+	assertFieldError(t, validateService(func(s *Service) { s.Name = "" }), "name")
+	assertFieldError(t, validateService(func(s *Service) { s.NonIdempotent[1] = "orders" }), "non_idempotent[1]")
+	assertFieldError(t, validateService(func(s *Service) { s.PricePerCall = -1 }), "price_per_call")
+	assertFieldError(t, validateService(func(s *Service) { s.TimeoutMS = 0 }), "timeout_ms")
+	assertFieldError(t, validateService(func(s *Service) { s.Attempts = 0 }), "attempts")
+	assertFieldError(t, validateModel(func(m *Model) { m.Attempts = 11 }), "attempts")
+	assertFieldError(t, validateModel(func(m *Model) { m.TokensPerEvent = 0 }), "tokens_per_event")
+	assertFieldError(t, validateModel(func(m *Model) { m.Name = "" }), "name")
+	assertFieldError(t, validateModel(func(m *Model) { m.BytesPerToken = 0 }), "bytes_per_token")
+	assertFieldError(t, validateModel(func(m *Model) { m.ContextTokens = 0 }), "context_tokens")
 }
 
-// Guards against a call run twice because its path is written in another way.
-func TestNonIdempotentInEveryWriting(t *testing.T) {
+// A call must not run twice because its path is written in another way.
+func TestIsNonIdempotentMatchesEquivalentPaths(t *testing.T) {
 	s := &Service{NonIdempotent: []string{"POST /orders", "* /confirm/"}}
 	for _, path := range []string{"/orders", "/orders/7", "//orders", "/x/../orders", "/%6frders", "/orders?a=b",
 		"/x%2f..%2forders", "orders", "/./orders#x"} {
@@ -134,11 +134,11 @@
 }
 
 func TestGenerateKey(t *testing.T) {
-	plain, hash, err := GenerateKey(bytes.NewReader(bytes.Repeat([]byte{7}, keyBytes)))
+	key, hash, err := GenerateKey(bytes.NewReader(bytes.Repeat([]byte{7}, keyBytes)))
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, hash, qt.Equals, HashKey(plain))
+	qt.Assert(t, hash, qt.Equals, HashKey(key))
 	qt.Assert(t, ValidKeyHash(hash), qt.IsTrue)
-	qt.Assert(t, strings.HasPrefix(plain, keyPrefix), qt.IsTrue)
+	qt.Assert(t, strings.HasPrefix(key, keyPrefix), qt.IsTrue)
 	_, _, err = GenerateKey(bytes.NewReader(nil))
 	qt.Assert(t, err, qt.IsNotNil)
 }
--- a/internal/contract/key.go
+++ b/internal/contract/key.go
@@ -9,26 +9,26 @@
 	"github.com/pkg/errors"
 )
 
-// keyBytes is the randomness of a caller's key. At 256 bits an unsalted hash
-// can't be searched.
+// keyBytes is the number of random bytes in an API key. With 256 bits, a key can't be
+// found from its unsalted hash by search.
 const keyBytes = 32
 
-// keyPrefix marks a caller's key, so that a leaked one is recognised in logs.
+// keyPrefix starts every API key, so that leaked keys can be recognized in logs.
 const keyPrefix = "ck_"
 
-// HashKey gives the form in which the fleet keeps a key.
-func HashKey(plain string) KeyHash {
-	sum := sha256.Sum256([]byte(plain))
+// HashKey returns the stored form of an API key.
+func HashKey(key string) KeyHash {
+	sum := sha256.Sum256([]byte(key))
 	return KeyHash(hex.EncodeToString(sum[:]))
 }
 
-// GenerateKey makes a new caller's key from random, which must be a
-// cryptographic source (crypto/rand.Reader). It fails only if random does.
-func GenerateKey(random io.Reader) (plain string, hash KeyHash, err error) {
+// GenerateKey returns a new API key and its hash. random must be a cryptographically
+// secure source such as crypto/rand.Reader; only its errors are returned.
+func GenerateKey(random io.Reader) (key string, hash KeyHash, err error) {
 	raw := make([]byte, keyBytes)
 	if _, err := io.ReadFull(random, raw); err != nil {
 		return "", "", errors.Wrap(err, "contract: read randomness for a key")
 	}
-	plain = keyPrefix + base64.RawURLEncoding.EncodeToString(raw)
-	return plain, HashKey(plain), nil
+	key = keyPrefix + base64.RawURLEncoding.EncodeToString(raw)
+	return key, HashKey(key), nil
 }
--- a/internal/contract/limits.go
+++ b/internal/contract/limits.go
@@ -10,45 +10,45 @@
 	"chicorytiller.example/chicorytiller/internal/id"
 )
 
-// AllowsModel tells whether the account may ask for the model.
+// AllowsModel reports whether the account may use the model.
 func (c *Contract) AllowsModel(model id.Model) bool {
 	return slices.Contains(c.Models, model)
 }
 
-// AllowsService tells whether the account may call the service.
+// AllowsService reports whether the account may call the service.
 func (c *Contract) AllowsService(service id.Service) bool {
 	return slices.Contains(c.Services, service)
 }
 
-// Deadline is the window within which an answer counts.
+// Deadline returns the time limit for an answer, from the arrival of its request.
 func (c *Contract) Deadline() time.Duration {
 	return time.Duration(c.DeadlineMS) * time.Millisecond
 }
 
-// Timeout is how long one call of the service may take.
+// Timeout returns the time limit for one call of the service.
 func (s *Service) Timeout() time.Duration {
 	return time.Duration(s.TimeoutMS) * time.Millisecond
 }
 
-// IsNonIdempotent tells whether a call must run at most once. callPath may carry
+// IsNonIdempotent reports whether a call must run at most once. callPath may include
 // a query.
 //
-// A caller could write the same path in another way ("//orders", "/%6frders",
-// "/x/../orders"); were it compared literally, the call would count as
-// idempotent, be retried after a broken connection, and run twice. So every
-// reading of the path is compared, and one match is enough.
+// The same path can be written in several ways ("//orders", "/%6frders",
+// "/x/../orders"). With a literal comparison such a call would count as idempotent,
+// be retried after a broken connection and run twice. So all forms of the path are
+// compared, and one match suffices.
 func (s *Service) IsNonIdempotent(method, callPath string) bool {
 	if len(s.NonIdempotent) == 0 {
 		return false
 	}
-	readings := pathReadings(callPath)
+	paths := equivalentPaths(callPath)
 	for _, call := range s.NonIdempotent {
 		callMethod, prefix, _ := strings.Cut(call, " ")
 		if callMethod != "*" && !strings.EqualFold(callMethod, method) {
 			continue
 		}
-		for _, reading := range readings {
-			if strings.HasPrefix(reading, prefix) {
+		for _, p := range paths {
+			if strings.HasPrefix(p, prefix) {
 				return true
 			}
 		}
@@ -56,18 +56,20 @@
 	return false
 }
 
-func pathReadings(callPath string) []string {
+// equivalentPaths returns the path as written, cleaned and unescaped, without its query.
+func equivalentPaths(callPath string) []string {
 	raw, _, _ := strings.Cut(callPath, "?")
 	raw, _, _ = strings.Cut(raw, "#")
-	readings := []string{raw, cleanPath(raw)}
-	plain, err := url.PathUnescape(raw)
+	paths := []string{raw, cleanPath(raw)}
+	unescaped, err := url.PathUnescape(raw)
 	if err != nil {
-		return readings
+		return paths
 	}
-	return append(readings, plain, cleanPath(plain))
+	return append(paths, unescaped, cleanPath(unescaped))
 }
 
-// cleanPath keeps a trailing slash, so that the prefix "/orders/" still matches.
+// cleanPath is path.Clean for a rooted path, but keeps a trailing slash so that the prefix
+// "/orders/" still matches.
 func cleanPath(p string) string {
 	clean := path.Clean("/" + p)
 	if strings.HasSuffix(p, "/") && clean != "/" {
