--- a/internal/callers/caller.go
+++ b/internal/callers/caller.go
@@ -10,21 +10,21 @@
 	"chicorytiller.example/chicorytiller/internal/request"
 )
 
-// caller writes one answer; it implements forward.Caller.
-type caller struct {
-	w       http.ResponseWriter
-	dialect Protocol
-	request *request.Request
-	head    bool
-	// aborted: the answer must not look complete.
+// httpCaller writes the answer of one request; it implements forward.Caller.
+type httpCaller struct {
+	w        http.ResponseWriter
+	protocol Protocol
+	request  *request.Request
+	isHead   bool
+	// aborted means that the answer must not look complete.
 	aborted bool
 }
 
-var _ forward.Caller = (*caller)(nil)
+var _ forward.Caller = (*httpCaller)(nil)
 
-// statuses are the statuses of the router's own answers. Those of 429 and 503
-// promise that the request has not run and never will.
-var statuses = map[forward.Cause]int{
+// statusCodes are the HTTP status codes of refusals. Codes 429 and 503 guarantee that the
+// request has not run and never will.
+var statusCodes = map[forward.Cause]int{
 	forward.NotReady:           http.StatusServiceUnavailable,
 	forward.Malformed:          http.StatusBadRequest,
 	forward.UnknownRoute:       http.StatusNotFound,
@@ -52,13 +52,13 @@
 	forward.BackendFailed:      http.StatusBadGateway,
 }
 
-// StatusCode is the status of the router's own answer for a cause.
+// StatusCode returns the HTTP status code of refusals with this cause.
 func StatusCode(cause forward.Cause) int {
-	return statuses[cause]
+	return statusCodes[cause]
 }
 
-// Refuse implements forward.Caller.
-func (c *caller) Refuse(refusal forward.Refusal) {
+// Refuse sends a refusal as JSON.
+func (c *httpCaller) Refuse(refusal forward.Refusal) {
 	header := c.w.Header()
 	if refusal.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(refusal.RetryAfter.Seconds(), 'f', -1, 64))
@@ -67,16 +67,16 @@
 		header.Set("Connection", "close")
 	}
 	header.Set("Content-Type", "application/json")
-	body := c.dialect.RefusalBody(refusal, c.request)
+	body := c.protocol.RefusalBody(refusal, c.request)
 	header.Set("Content-Length", strconv.Itoa(len(body)))
-	c.w.WriteHeader(statuses[refusal.Cause])
-	_, _ = c.w.Write(body) // a caller that has left needs no refusal
+	c.w.WriteHeader(statusCodes[refusal.Cause])
+	_, _ = c.w.Write(body) // fails only if the caller has disconnected
 }
 
 // Answer implements forward.Caller.
-func (c *caller) Answer(status int, header http.Header, body []byte) error {
+func (c *httpCaller) Answer(status int, header http.Header, body []byte) error {
 	c.copyHeaders(header)
-	if !c.head {
+	if !c.isHead {
 		c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	c.w.WriteHeader(status)
@@ -88,7 +88,7 @@
 }
 
 // Begin implements forward.Caller.
-func (c *caller) Begin(status int, header http.Header, length int64) {
+func (c *httpCaller) Begin(status int, header http.Header, length int64) {
 	c.copyHeaders(header)
 	if length >= 0 {
 		c.w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
@@ -97,7 +97,7 @@
 }
 
 // Write implements forward.Caller.
-func (c *caller) Write(part []byte) error {
+func (c *httpCaller) Write(part []byte) error {
 	if _, err := c.w.Write(part); err != nil {
 		return err
 	}
@@ -105,26 +105,26 @@
 }
 
 // Abort implements forward.Caller.
-func (c *caller) Abort() {
+func (c *httpCaller) Abort() {
 	c.aborted = true
 }
 
-// finish ends the answer. An aborted one ends with its connection, before its
-// stated length or last chunk, so that no caller takes it for whole.
-func (c *caller) finish() {
+// finish ends the answer. If it was aborted, the connection is closed before the declared
+// content length or the last chunk is sent, so that callers notice that it is incomplete.
+func (c *httpCaller) finish() {
 	if c.aborted {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (c *caller) copyHeaders(header http.Header) {
-	own := c.w.Header()
+func (c *httpCaller) copyHeaders(header http.Header) {
+	dst := c.w.Header()
 	for name, values := range header {
-		if !oneConnection[name] && !c.dialect.StrippedHeaders[name] {
-			own[name] = values
+		if !hopByHopHeaders[name] && !c.protocol.StrippedHeaders[name] {
+			dst[name] = values
 		}
 	}
 	if _, found := header["Content-Type"]; !found {
-		own["Content-Type"] = nil // the library would guess one from the body
+		dst["Content-Type"] = nil // otherwise net/http sets one that it detects from the body
 	}
 }
--- a/internal/callers/caller_test.go
+++ b/internal/callers/caller_test.go
@@ -10,8 +10,8 @@
 	"chicorytiller.example/chicorytiller/internal/forward"
 )
 
-// Guards against a cause without a status: its caller gets a broken connection.
-func TestEachCauseHasAStatus(t *testing.T) {
+// A cause without a status code would break the caller's connection instead of refusing the request.
+func TestEveryCauseHasStatusCode(t *testing.T) {
 	source, err := os.ReadFile("../forward/refusal.go")
 	qt.Assert(t, err, qt.IsNil)
 	causes := regexp.MustCompile(`Cause = "([a-z_]+)"`).FindAllSubmatch(source, -1)
--- a/internal/callers/front.go
+++ b/internal/callers/front.go
@@ -1,5 +1,5 @@
-// Package callers serves callers over HTTP: it reads each request whole, lets a
-// dialect decode it, and writes the answer so that a broken one never looks whole.
+// Package callers serves callers over HTTP. It reads the complete request, lets a Protocol
+// decode it, and writes the answer so that an incomplete one is never taken for complete.
 package callers
 
 import (
@@ -16,99 +16,100 @@
 	"chicorytiller.example/chicorytiller/internal/request"
 )
 
-// Router is what a front needs of the router that it stands before.
+// Router holds the functions and settings of a router that the HTTP handlers use.
 type Router struct {
 	Serve forward.ServeFunc
-	// Refuse answers a request that is not to be served at all.
+	// Refuse answers a request that is not served.
 	Refuse       func(r *request.Request, caller forward.Caller, refusal forward.Refusal)
-	MaxBodyBytes func() int64 // bytes; 0: none
-	// ShuttingDown says whether this process stops, so that callers should not use the
-	// connection again.
+	MaxBodyBytes func() int64 // 0 means no limit
+	// ShuttingDown reports whether the process is shutting down, so that callers should not
+	// reuse the connection.
 	ShuttingDown func() bool
-	Policy       func() *policy.Policy // nil until one is known
-	// Resolve names the routers for a caller in a failure domain; caller tells callers
-	// apart.
+	Policy       func() *policy.Policy // the result is nil until a configuration is known
+	// Resolve returns the addresses of the routers that a caller in a failure domain should
+	// use; caller identifies the caller.
 	Resolve func(domain, caller string) []string
-	// EntryTTL is how long callers may keep what Resolve said.
+	// EntryTTL is how long callers may cache the result of Resolve.
 	EntryTTL time.Duration
 }
 
-// Protocol is what one interface for callers has of its own.
+// Protocol defines the requests and answers of one API for callers.
 type Protocol struct {
-	// Decode makes a request of what a caller sent. If it gives a refusal, the request
-	// has its id at least.
-	Decode func(hr *http.Request, body []byte, arrived time.Time, p *policy.Policy) (*request.Request, *forward.Refusal)
-	// RequestIDHeader is the header of an answer that names the request.
+	// Decode converts an HTTP request and its body. The returned request has at least its ID,
+	// even if there is a refusal.
+	Decode func(req *http.Request, body []byte, arrived time.Time, p *policy.Policy) (*request.Request, *forward.Refusal)
+	// RequestIDHeader is the answer's header for the request ID.
 	RequestIDHeader string
-	// StrippedHeaders are headers of a server's answer that callers don't get, beside those
-	// that concern one connection only.
+	// StrippedHeaders are headers of backend servers' answers that callers don't get, in
+	// addition to hop-by-hop headers.
 	StrippedHeaders map[string]bool
-	// RefusalBody is the JSON that tells a refusal.
+	// RefusalBody returns the JSON body of a refusal.
 	RefusalBody func(refusal forward.Refusal, r *request.Request) []byte
 }
 
-// NewHandler serves callers of a dialect.
-func NewHandler(d Protocol, router Router) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, hr *http.Request) {
+// NewHandler returns a handler that serves callers with the protocol p.
+func NewHandler(p Protocol, router Router) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		arrived := time.Now()
-		answer := &caller{w: w, dialect: d, head: hr.Method == http.MethodHead}
+		caller := &httpCaller{w: w, protocol: p, isHead: req.Method == http.MethodHead}
 		if router.ShuttingDown() {
 			w.Header().Set("Connection", "close")
 		}
-		body, err := readBody(w, hr, router.MaxBodyBytes())
-		r, refusal := d.Decode(hr, body, arrived, router.Policy())
-		answer.request = r
-		w.Header().Set(d.RequestIDHeader, r.ID)
+		body, err := readBody(w, req, router.MaxBodyBytes())
+		r, refusal := p.Decode(req, body, arrived, router.Policy())
+		caller.request = r
+		w.Header().Set(p.RequestIDHeader, r.ID)
 		switch {
-		case tooLong(err):
-			router.Refuse(r, answer, forward.Refusal{Cause: forward.BodyTooLarge})
+		case isTooLarge(err):
+			router.Refuse(r, caller, forward.Refusal{Cause: forward.BodyTooLarge})
 		case err != nil:
-			answer.Abort() // the caller broke off: there is nobody to answer
+			caller.Abort() // the caller has disconnected
 		case refusal != nil:
-			router.Refuse(r, answer, *refusal)
+			router.Refuse(r, caller, *refusal)
 		default:
-			router.Serve(hr.Context(), r, answer)
+			router.Serve(req.Context(), r, caller)
 		}
-		answer.finish()
+		caller.finish()
 	})
 }
 
-// readBody reads the whole body; limit is in bytes, zero means none.
-func readBody(w http.ResponseWriter, hr *http.Request, limit int64) ([]byte, error) {
-	if hr.Body == nil || hr.Body == http.NoBody {
+// readBody reads the whole body. A limit of zero means no limit.
+func readBody(w http.ResponseWriter, req *http.Request, limit int64) ([]byte, error) {
+	if req.Body == nil || req.Body == http.NoBody {
 		return nil, nil
 	}
-	source := hr.Body
+	source := req.Body
 	if limit > 0 {
-		source = http.MaxBytesReader(w, hr.Body, limit)
+		source = http.MaxBytesReader(w, req.Body, limit)
 	}
-	if hr.ContentLength > 0 && (limit <= 0 || hr.ContentLength <= limit) {
-		body := make([]byte, hr.ContentLength)
+	if req.ContentLength > 0 && (limit <= 0 || req.ContentLength <= limit) {
+		body := make([]byte, req.ContentLength)
 		_, err := io.ReadFull(source, body)
 		return body, err
 	}
 	return io.ReadAll(source)
 }
 
-// oneConnection are headers that concern one connection only, or that the router
-// sets itself: they are never passed on, in either direction.
-var oneConnection = map[string]bool{
+// hopByHopHeaders are headers that apply to a single connection or that the router sets
+// itself. They are not forwarded in either direction.
+var hopByHopHeaders = map[string]bool{
 	"Host": true, "Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true, "Proxy-Authorization": true,
 }
 
-// ForwardedHeaders lists the headers that a backend server gets as the caller sent them: all
-// but those of one connection and those that withheld says.
-func ForwardedHeaders(header http.Header, withheld func(name string) bool, kept func(name string) bool) []request.HeaderField {
-	oneHop := map[string]bool{}
+// ForwardedHeaders returns the headers of a caller that are forwarded to the backend server
+// unchanged: all but hop-by-hop headers and those for which strip returns true. Headers listed
+// in Connection are hop-by-hop too, unless keep returns true for them.
+func ForwardedHeaders(header http.Header, strip func(name string) bool, keep func(name string) bool) []request.HeaderField {
+	connectionOptions := map[string]bool{}
 	for _, value := range header["Connection"] {
 		for _, name := range strings.Split(value, ",") {
-			oneHop[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+			connectionOptions[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
 	fields := make([]request.HeaderField, 0, len(header))
 	for name, values := range header {
-		if oneConnection[name] || withheld(name) || oneHop[name] && !kept(name) {
+		if hopByHopHeaders[name] || strip(name) || connectionOptions[name] && !keep(name) {
 			continue
 		}
 		for _, value := range values {
@@ -118,16 +119,16 @@
 	return fields
 }
 
-// ClientIP is the IP number that a request came from.
-func ClientIP(hr *http.Request) string {
-	host, _, err := net.SplitHostPort(hr.RemoteAddr)
+// ClientIP returns the IP address that a request came from.
+func ClientIP(req *http.Request) string {
+	host, _, err := net.SplitHostPort(req.RemoteAddr)
 	if err != nil {
-		return hr.RemoteAddr // not a socket's: a test's
+		return req.RemoteAddr // not from a socket; only in tests
 	}
 	return host
 }
 
-// ReadyHandler answers the question whether callers should come, at one path.
+// ReadyHandler answers readiness probes at path with status 200 or 503.
 func ReadyHandler(path string, ready func() bool) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
@@ -138,17 +139,17 @@
 	return mux
 }
 
-// BearerToken returns the API key of an Authorization header, empty if it has none.
-func BearerToken(value string) string {
-	scheme, key, found := strings.Cut(value, " ")
+// BearerToken returns the token of an Authorization header, or "" if it has no bearer token.
+func BearerToken(authorization string) string {
+	scheme, token, found := strings.Cut(authorization, " ")
 	if !found || !strings.EqualFold(scheme, "Bearer") {
 		return ""
 	}
-	return strings.TrimSpace(key)
+	return strings.TrimSpace(token)
 }
 
-// tooLong says whether a body was over the limit.
-func tooLong(err error) bool {
-	over := &http.MaxBytesError{}
-	return errors.As(err, &over)
+// isTooLarge reports whether an error of readBody means that the body exceeds the limit.
+func isTooLarge(err error) bool {
+	maxBytesErr := &http.MaxBytesError{}
+	return errors.As(err, &maxBytesErr)
 }
--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -1,5 +1,5 @@
-// Package eventstream reads a stream of server-sent events event by event, so
-// that an event is passed on whole or not at all.
+// Package eventstream splits a stream of server-sent events into events, so that each event
+// can be forwarded completely or not at all.
 package eventstream
 
 import (
@@ -11,38 +11,38 @@
 	"github.com/pkg/errors"
 )
 
-// MaxEventBytes bounds the bytes of one event.
+// MaxEventBytes is the maximum size of an event.
 const MaxEventBytes = 1 << 20
 
-// ErrTooLarge: an event is larger than MaxEventBytes.
+// ErrTooLarge is returned for an event larger than MaxEventBytes.
 var ErrTooLarge = errors.New("eventstream: event too large")
 
-// Event is one event as it was sent, with its closing empty line.
+// Event is one event.
 type Event struct {
-	Raw   []byte
-	ID    int64 // of the field id, if HasID
+	Raw   []byte // as sent, including the empty line at its end
+	ID    int64  // value of the id field, valid if HasID
 	HasID bool
 }
 
-// Reader reads events.
+// Reader reads events from a stream.
 type Reader struct {
 	r   *bufio.Reader
 	buf []byte
 }
 
-// NewReader reads from r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r *bufio.Reader) *Reader {
 	return &Reader{r: r}
 }
 
-// Next returns the next event; its Raw is valid until the next call. At the end
-// it returns io.EOF, and io.ErrUnexpectedEOF if the end came within an event.
+// Next returns the next event, whose Raw is valid until the next call. At the end of the
+// stream it returns io.EOF, or io.ErrUnexpectedEOF if the last event is incomplete.
 func (r *Reader) Next() (Event, error) {
 	r.buf = r.buf[:0]
 	e := Event{}
 	for {
 		start := len(r.buf)
-		if err := r.line(); err != nil {
+		if err := r.readLine(); err != nil {
 			if err == io.EOF && len(r.buf) > 0 {
 				err = io.ErrUnexpectedEOF
 			}
@@ -60,8 +60,8 @@
 	}
 }
 
-// line appends one line with its end to the buffer.
-func (r *Reader) line() error {
+// readLine appends the next line, including its line break, to buf.
+func (r *Reader) readLine() error {
 	for {
 		part, err := r.r.ReadSlice('\n')
 		r.buf = append(r.buf, part...)
@@ -74,7 +74,8 @@
 	}
 }
 
-// Buffered says whether another event may be read without waiting.
+// Buffered reports whether there is buffered data, so that the next event might be read without
+// blocking.
 func (r *Reader) Buffered() bool {
 	return r.r.Buffered() > 0
 }
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func read(stream string) (events []string, err error) {
+func readAll(stream string) (events []string, err error) {
 	r := NewReader(bufio.NewReaderSize(strings.NewReader(stream), 16))
 	for {
 		e, err := r.Next()
@@ -21,18 +21,18 @@
 	}
 }
 
-// Guards against half an event, or a broken end that looks proper.
-func TestPartOfAnEventIsNotPassedOn(t *testing.T) {
-	events, err := read("id: 1\ndata: a\n\nid: 2\nda")
+// An incomplete event must not be forwarded, and a broken stream must not look complete.
+func TestIncompleteEventIsNotReturned(t *testing.T) {
+	events, err := readAll("id: 1\ndata: a\n\nid: 2\nda")
 	qt.Assert(t, err, qt.Equals, io.ErrUnexpectedEOF)
 	qt.Assert(t, events, qt.DeepEquals, []string{"id: 1\ndata: a\n\n"})
 
-	events, err = read("id: 1\ndata: a\n\n")
+	events, err = readAll("id: 1\ndata: a\n\n")
 	qt.Assert(t, err, qt.Equals, io.EOF)
 	qt.Assert(t, events, qt.HasLen, 1)
 }
 
-func TestIDsAreRead(t *testing.T) {
+func TestEventIDs(t *testing.T) {
 	r := NewReader(bufio.NewReader(strings.NewReader("versions: 3\nid: 41\r\ndata: x\r\n\r\nid:x\n\n")))
 	e, err := r.Next()
 	qt.Assert(t, err, qt.IsNil)
@@ -43,13 +43,13 @@
 	qt.Assert(t, e.HasID, qt.IsFalse)
 }
 
-// A server that never ends its event can't fill the memory.
-func TestEventIsBounded(t *testing.T) {
-	_, err := read("data: " + strings.Repeat("x", MaxEventBytes))
+// A server that never ends an event must not exhaust the router's memory.
+func TestEventSizeIsLimited(t *testing.T) {
+	_, err := readAll("data: " + strings.Repeat("x", MaxEventBytes))
 	qt.Assert(t, err, qt.Equals, ErrTooLarge)
 }
 
-// Whatever comes, the events put together are a prefix of the stream.
+// The concatenated events are a prefix of the stream, whatever the input.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2"))
 	f.Fuzz(func(t *testing.T, stream []byte) {
--- a/internal/native/backends.go
+++ b/internal/native/backends.go
@@ -12,38 +12,39 @@
 	"chicorytiller.example/chicorytiller/internal/upstream"
 )
 
-// Headers between routers and backend servers, beside those of HTTP and OpenAI.
+// Headers between routers and backend servers, in addition to those of HTTP and the OpenAI API.
 const (
 	HeaderRequestID   = "X-Request-Id"
-	HeaderBackend     = "X-Chicory-Backend"   // the server that is meant; another one answers 421
-	HeaderTimeLeft    = "X-Chicory-Time-Left" // ms
+	HeaderBackend     = "X-Chicory-Backend"   // ID of the intended server; another one answers 421
+	HeaderTimeLeft    = "X-Chicory-Time-Left" // remaining time until the deadline, in ms
 	HeaderAccount     = "X-Chicory-Account"
-	HeaderUrgency     = "X-Chicory-Urgency"      // 0 is first
-	HeaderNotExecuted = "X-Chicory-Not-Executed" // of an answer: the request did not run
-	HeaderLoad        = "X-Chicory-Load"         // of an answer: running,waiting,slots
-	HeaderRateLimit   = "X-Chicory-Rate-Limit"   // of an answer: requests a second that the server takes from all routers
-	HeaderOutput      = "X-Chicory-Output"       // of a whole answer: its output tokens
+	HeaderUrgency     = "X-Chicory-Urgency"      // 0 is the most urgent
+	HeaderNotExecuted = "X-Chicory-Not-Executed" // in answers: the request did not run
+	HeaderLoad        = "X-Chicory-Load"         // in answers: running,waiting,slots
+	HeaderRateLimit   = "X-Chicory-Rate-Limit"   // in answers: requests per second that the server accepts from all routers together
+	HeaderOutput      = "X-Chicory-Output"       // in buffered answers: number of output tokens
 	HeaderLastEvent   = "Last-Event-Id"
 )
 
-// Codec is the backend servers' dialect.
+// Codec maps requests and answers to the headers above.
 var Codec = upstream.HeaderCodec{Names: upstream.HeaderNames{
 	RequestID: HeaderRequestID, ServerID: HeaderBackend, TimeLeft: HeaderTimeLeft, LastEventID: HeaderLastEvent,
 	Account: HeaderAccount, Priority: HeaderUrgency, NotExecuted: HeaderNotExecuted, Load: HeaderLoad, OutputTokens: HeaderOutput,
 	RateLimit: HeaderRateLimit,
 }}
 
-// Patience with engines, from which the watchdog's is derived.
+// Latency goals of routes to engines. The forwarder's watchdog derives its timeouts from them.
 const (
-	// firstTokenGoal is a usual time to the first token under load.
-	firstTokenGoal = 2 * time.Second
-	// gapGoal is a usual longest pause between tokens: a preempted request waits.
-	gapGoal = time.Second
-	// wholeGoal is a usual time of a whole answer of some thousand tokens.
-	wholeGoal = 30 * time.Second
+	// firstTokenLatencyGoal is a typical time to first token under load.
+	firstTokenLatencyGoal = 2 * time.Second
+	// tokenGapGoal is a typical longest pause between tokens, which occurs when an engine
+	// preempts a request.
+	tokenGapGoal = time.Second
+	// answerLatencyGoal is a typical time for a complete answer of a few thousand tokens.
+	answerLatencyGoal = 30 * time.Second
 )
 
-// BackendEntry is the stored form of a backend server for one service.
+// BackendEntry is the stored record of a backend server for one service.
 type BackendEntry struct {
 	ID            string `json:"id"`
 	Service       string `json:"service"`
@@ -52,24 +53,24 @@
 	Leaving       bool   `json:"leaving"`
 }
 
-// Encode gives the stored form.
+// Encode returns the entry as JSON.
 func (e BackendEntry) Encode() []byte {
 	data, err := json.Marshal(e)
 	if err != nil {
-		panic(err) // strings always encode
+		panic(err) // strings and booleans always encode
 	}
 	return data
 }
 
-// BackendEntries makes the entries of a backend server, by their keys: one for each model
-// of an engine, one for an instance of a service.
+// BackendEntries returns the encoded entries of a backend server by store key: one for each
+// model of an engine, or one for a service instance.
 func BackendEntries(b contract.BackendServer) map[string][]byte {
 	services := make([]string, 0, len(b.Models)+1)
 	for _, model := range b.Models {
-		services = append(services, modelService(model))
+		services = append(services, modelServiceName(model))
 	}
 	if b.Kind == contract.KindService {
-		services = append(services, plainService(b.Service))
+		services = append(services, plainServiceName(b.Service))
 	}
 	entries := make(map[string][]byte, len(services))
 	for _, service := range services {
@@ -79,7 +80,7 @@
 	return entries
 }
 
-// ParseBackendEntry reads a stored entry.
+// ParseBackendEntry decodes a stored BackendEntry.
 func ParseBackendEntry(item store.Item) (BackendEntry, error) {
 	e := BackendEntry{}
 	if err := json.Unmarshal(item.Value, &e); err != nil {
@@ -91,7 +92,7 @@
 	return e, nil
 }
 
-// DecodeServer makes a registry's entry of a stored one.
+// DecodeServer decodes a stored BackendEntry to an entry of the registry.
 func DecodeServer(item store.Item) (fleet.Entry, error) {
 	e, err := ParseBackendEntry(item)
 	if err != nil {
--- a/internal/native/dialect.go
+++ b/internal/native/dialect.go
@@ -8,7 +8,7 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Environment is what a router with the own interface speaks.
+// Environment returns the environment of a router with the native API.
 func Environment(s store.Store, clock func() escrow.ClockReading, log *event.Log) node.Environment {
 	return node.Environment{
 		Store:            s,
--- a/internal/native/document.go
+++ b/internal/native/document.go
@@ -1,6 +1,6 @@
-// Package native is the product's own interface: OpenAI's chat completions and plain
-// services for callers, one document for operators, and a dialect for backend
-// servers. It translates; decisions are made elsewhere.
+// Package native implements the native API of the router: OpenAI-compatible chat completions
+// and plain services for callers, a configuration document for operators, and HTTP headers for
+// backend servers. It only translates; other packages decide what happens to a request.
 package native
 
 import (
@@ -16,33 +16,35 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Keys of the store.
+// Store keys.
 const (
-	// ConfigPrefix holds the operators' document.
+	// ConfigPrefix is the prefix of all configuration.
 	ConfigPrefix = "chicory-config/"
-	// ConfigKey is the document itself.
+	// ConfigKey is the key of the operators' Document.
 	ConfigKey = ConfigPrefix + "document"
-	// EvacuatePrefix holds the orders to evacuate a failure domain, under its name.
+	// EvacuatePrefix, followed by the name of a failure domain, is the key of an order to
+	// evacuate that domain.
 	EvacuatePrefix = ConfigPrefix + "evacuate/"
-	// BackendsPrefix holds the backend servers' entries, each under its id.
+	// BackendsPrefix, followed by server ID, "/" and service, is the key of a BackendEntry.
 	BackendsPrefix = "chicory-backend/"
-	// claimsPrefix holds the claims of idempotency keys.
+	// claimsPrefix is the prefix of claims of idempotency keys.
 	claimsPrefix = "chicory-claim/"
 )
 
-// ErrInvalidDocument: the operators' document or a backend server's entry can't be used.
+// ErrInvalidDocument is the error for an invalid Document or BackendEntry.
 var ErrInvalidDocument = errors.New("native: unusable document")
 
-// Document is all that operators configure. A change replaces it whole.
+// Document is the configuration by operators, except backend servers and evacuations. Each
+// change replaces the whole document.
 type Document struct {
-	Version      int64               `json:"version"`    // grows with each change
-	MaxBodyBytes int64               `json:"body_bytes"` // most of one request; 0: bodyBytesDefault
+	Version      int64               `json:"version"`    // increases with each change
+	MaxBodyBytes int64               `json:"body_bytes"` // per request; 0 means defaultMaxBodyBytes
 	Models       []contract.Model    `json:"models"`
 	Services     []contract.Service  `json:"services"`
 	Contracts    []contract.Contract `json:"contracts"`
 }
 
-// ParseDocument reads and checks a document. Its error names the object and field.
+// ParseDocument decodes and validates a document. Validation errors name the object and field.
 func ParseDocument(data []byte) (*Document, error) {
 	d := &Document{}
 	if err := json.Unmarshal(data, d); err != nil {
@@ -54,7 +56,8 @@
 	return d, nil
 }
 
-// Validate checks each object, and that each is named once and each name known.
+// Validate checks each object, that names and API keys are unique, and that the models and
+// services in contracts exist.
 func (d *Document) Validate() error {
 	models, services := map[id.Model]bool{}, map[id.Service]bool{}
 	for i := range d.Models {
@@ -111,18 +114,18 @@
 	return nil
 }
 
-// IsConfig says whether an item under ConfigPrefix is the document.
+// IsConfig reports whether an item under ConfigPrefix is the Document.
 func IsConfig(item store.Item) bool {
 	return item.Key == ConfigKey
 }
 
-// EvacuatedDomain reads which failure domain an item under ConfigPrefix orders to be
-// evacuated, by its key; isOrder is false for another item.
+// EvacuatedDomain returns the failure domain in the key of an evacuation order. isOrder is
+// false for any other key under ConfigPrefix.
 func EvacuatedDomain(key string) (domain string, isOrder bool) {
 	return strings.CutPrefix(key, EvacuatePrefix)
 }
 
-// DecodeConfig makes a policy of the stored document.
+// DecodeConfig decodes the stored Document and returns its policy.
 func DecodeConfig(item store.Item) (*policy.Policy, error) {
 	d, err := ParseDocument(item.Value)
 	if err != nil {
@@ -135,7 +138,7 @@
 	definition := policy.Definition{
 		Version: d.Version,
 		Keys:    map[string]string{},
-		Limits:  policy.Limits{MaxBodyBytes: bodyBytesDefault},
+		Limits:  policy.Limits{MaxBodyBytes: defaultMaxBodyBytes},
 		Catalogue: policy.Catalogue{
 			Models: map[id.Model]contract.Model{}, Services: map[id.Service]contract.Service{},
 		},
@@ -146,12 +149,12 @@
 	for _, m := range d.Models {
 		definition.Catalogue.Models[m.Name] = m
 		definition.Routes = append(definition.Routes, modelRoutes(m)...)
-		definition.Services = append(definition.Services, policy.Service{Name: modelService(m.Name), TokensPerEvent: m.TokensPerEvent})
+		definition.Services = append(definition.Services, policy.Service{Name: modelServiceName(m.Name), TokensPerEvent: m.TokensPerEvent})
 	}
 	for _, s := range d.Services {
 		definition.Catalogue.Services[s.Name] = s
 		definition.Routes = append(definition.Routes, serviceRoutes(s)...)
-		definition.Services = append(definition.Services, policy.Service{Name: plainService(s.Name)})
+		definition.Services = append(definition.Services, policy.Service{Name: plainServiceName(s.Name)})
 	}
 	for i := range d.Contracts {
 		c := &d.Contracts[i]
@@ -166,38 +169,38 @@
 	return definition
 }
 
-// bodyBytesDefault bounds bodies where the document doesn't: a context of 100,000 tokens
-// is some 0.5 MB, and each body is held whole.
-const bodyBytesDefault = 4 << 20
+// defaultMaxBodyBytes is the body limit if the document sets none. A context of 100,000 tokens
+// is about 0.5 MB; each body is held in memory.
+const defaultMaxBodyBytes = 4 << 20
 
-// host stands in the place of a host name: the own interface is one host.
-const host = "chicorytiller"
+// routeHost is the host of all routes: the native API doesn't route by host.
+const routeHost = "chicorytiller"
 
-func modelService(name id.Model) string   { return "model/" + string(name) }
-func plainService(name id.Service) string { return "service/" + string(name) }
+func modelServiceName(name id.Model) string   { return "model/" + string(name) }
+func plainServiceName(name id.Service) string { return "service/" + string(name) }
 
-// Paths by which routes are found; callers don't see them.
-func streamPath(name id.Model) string    { return fmt.Sprintf("/model/%s/stream/", name) }
-func wholePath(name id.Model) string     { return fmt.Sprintf("/model/%s/whole/", name) }
-func oncePath(name id.Service) string    { return fmt.Sprintf("/service/%s/once/", name) }
-func anyTimePath(name id.Service) string { return fmt.Sprintf("/service/%s/any/", name) }
+// Path prefixes of routes. They are internal: callers don't use these paths.
+func streamPath(name id.Model) string          { return fmt.Sprintf("/model/%s/stream/", name) }
+func bufferedPath(name id.Model) string        { return fmt.Sprintf("/model/%s/whole/", name) }
+func nonIdempotentPath(name id.Service) string { return fmt.Sprintf("/service/%s/once/", name) }
+func idempotentPath(name id.Service) string    { return fmt.Sprintf("/service/%s/any/", name) }
 
 func modelRoutes(m contract.Model) []policy.Route {
-	targets := []policy.Target{{Service: modelService(m.Name), Weight: 1}}
+	targets := []policy.Target{{Service: modelServiceName(m.Name), Weight: 1}}
 	return []policy.Route{
-		{Name: "stream " + string(m.Name), Host: host, Prefix: streamPath(m.Name), Kind: policy.Streaming, Resumable: true,
-			LatencyGoal: firstTokenGoal, GapGoal: gapGoal, Targets: targets, MaxAttempts: m.Attempts},
-		{Name: "whole " + string(m.Name), Host: host, Prefix: wholePath(m.Name), Kind: policy.Idempotent,
-			LatencyGoal: wholeGoal, Targets: targets, MaxAttempts: m.Attempts},
+		{Name: "stream " + string(m.Name), Host: routeHost, Prefix: streamPath(m.Name), Kind: policy.Streaming, Resumable: true,
+			LatencyGoal: firstTokenLatencyGoal, GapGoal: tokenGapGoal, Targets: targets, MaxAttempts: m.Attempts},
+		{Name: "whole " + string(m.Name), Host: routeHost, Prefix: bufferedPath(m.Name), Kind: policy.Idempotent,
+			LatencyGoal: answerLatencyGoal, Targets: targets, MaxAttempts: m.Attempts},
 	}
 }
 
 func serviceRoutes(s contract.Service) []policy.Route {
-	targets := []policy.Target{{Service: plainService(s.Name), Weight: 1}}
+	targets := []policy.Target{{Service: plainServiceName(s.Name), Weight: 1}}
 	return []policy.Route{
-		{Name: "once " + string(s.Name), Host: host, Prefix: oncePath(s.Name), Kind: policy.NonIdempotent,
+		{Name: "once " + string(s.Name), Host: routeHost, Prefix: nonIdempotentPath(s.Name), Kind: policy.NonIdempotent,
 			Timeout: s.Timeout(), Targets: targets, MaxAttempts: s.Attempts},
-		{Name: "call " + string(s.Name), Host: host, Prefix: anyTimePath(s.Name), Kind: policy.Idempotent,
+		{Name: "call " + string(s.Name), Host: routeHost, Prefix: idempotentPath(s.Name), Kind: policy.Idempotent,
 			Timeout: s.Timeout(), LatencyGoal: s.Timeout() / 2, Targets: targets, MaxAttempts: s.Attempts},
 	}
 }
--- a/internal/native/parse.go
+++ b/internal/native/parse.go
@@ -10,21 +10,21 @@
 	"chicorytiller.example/chicorytiller/internal/id"
 )
 
-// chatRequest is what the router needs to know of a chat-completions body.
+// chatRequest holds the fields of a chat-completions body that the router uses.
 type chatRequest struct {
 	Model        id.Model
 	Stream       bool
-	ContentBytes int64 // bytes of all texts that go into the prompt
-	MaxTokens    int64 // the caller's output cap; 0: none given
+	ContentBytes int64 // total size of all texts in the prompt
+	MaxTokens    int64 // the caller's output limit; 0 if not set
 }
 
-// parseLimits bounds what parseChat accepts.
+// parseLimits are the limits that parseChat enforces.
 type parseLimits struct {
-	messages       int
-	maxOutputAsked int64
+	maxMessages     int
+	maxOutputTokens int64
 }
 
-// Fields of the body that the router reads itself.
+// Fields of the body that the router interprets.
 const (
 	fieldModel               = "model"
 	fieldMessages            = "messages"
@@ -34,11 +34,11 @@
 	fieldMaxCompletionTokens = "max_completion_tokens"
 )
 
-// passedFields are the fields that change neither the prompt's length nor the
-// answer's shape: they are passed on to the engine as they are. Any other field
-// (tools, functions, audio, ...) is refused, since it could add tokens to the
-// prompt that were never reserved, or text to the answer that is never billed.
-var passedFields = map[string]bool{
+// passthroughFields are the fields that the engine gets unchanged, since they affect neither
+// the length of the prompt nor the format of the answer. All other fields (tools, functions,
+// audio, ...) are refused: they could add tokens to the prompt that were not reserved, or
+// text to the answer that is not billed.
+var passthroughFields = map[string]bool{
 	"stream_options":    true,
 	"temperature":       true,
 	"top_p":             true,
@@ -54,147 +54,148 @@
 	"metadata":          true,
 }
 
-// roles are the roles of messages whose whole prompt text is their content.
-var roles = map[string]bool{"system": true, "developer": true, "user": true, "assistant": true}
+// supportedRoles are the roles of messages that have no prompt text besides name and content.
+var supportedRoles = map[string]bool{"system": true, "developer": true, "user": true, "assistant": true}
 
 var chatParsers fastjson.ParserPool
 
-// parseChat checks a chat-completions body. Its errors are of type *parseError.
+// parseChat parses and validates a chat-completions body. Errors are of type *parseError.
 func parseChat(body []byte, limits parseLimits) (chatRequest, error) {
 	if !utf8.Valid(body) {
-		return chatRequest{}, refuse(forward.Malformed, "the body is not valid UTF-8")
+		return chatRequest{}, parseErrorf(forward.Malformed, "the body is not valid UTF-8")
 	}
-	// The parser alone is lenient: it takes some texts that an engine reads
-	// in another way or not at all.
+	// ParseBytes alone accepts some invalid JSON, which an engine may reject or parse
+	// differently.
 	if err := fastjson.ValidateBytes(body); err != nil {
-		return chatRequest{}, refuse(forward.Malformed, "the body is not valid JSON")
+		return chatRequest{}, parseErrorf(forward.Malformed, "the body is not valid JSON")
 	}
 	parser := chatParsers.Get()
 	defer chatParsers.Put(parser)
 	root, err := parser.ParseBytes(body)
 	if err != nil {
-		return chatRequest{}, refuse(forward.Malformed, "the body is not valid JSON")
+		return chatRequest{}, parseErrorf(forward.Malformed, "the body is not valid JSON")
 	}
 	object, err := root.Object()
 	if err != nil {
-		return chatRequest{}, refuse(forward.Malformed, "the body must be a JSON object")
+		return chatRequest{}, parseErrorf(forward.Malformed, "the body must be a JSON object")
 	}
-	return readChat(object, limits)
+	return parseChatObject(object, limits)
 }
 
-func readChat(object *fastjson.Object, limits parseLimits) (chatRequest, error) {
+func parseChatObject(object *fastjson.Object, limits parseLimits) (chatRequest, error) {
 	var parsed chatRequest
 	err := eachField(object, "", func(name string, value *fastjson.Value) error {
-		return parsed.readField(name, value, limits)
+		return parsed.parseField(name, value, limits)
 	})
 	if err != nil {
 		return chatRequest{}, err
 	}
 	if parsed.Model == "" {
-		return chatRequest{}, refuse(forward.Malformed, "a model must be named")
+		return chatRequest{}, parseErrorf(forward.Malformed, "a model must be named")
 	}
 	if object.Get(fieldMessages) == nil {
-		return chatRequest{}, refuse(forward.Malformed, "messages must not be empty")
+		return chatRequest{}, parseErrorf(forward.Malformed, "messages must not be empty")
 	}
 	return parsed, nil
 }
 
-// eachField visits the fields of an object and refuses one that stands twice.
+// eachField calls visit for each field of an object, and returns an error if a field occurs
+// twice.
 //
-// Of two fields with one name the router and an engine might read different
-// ones: a request could then reserve for a short prompt and run a long one.
+// Of two fields with the same name, the router and an engine might use different ones: a
+// request could reserve tokens for a short prompt and run a long one.
 func eachField(object *fastjson.Object, path string, visit func(name string, value *fastjson.Value) error) error {
 	seen := make(map[string]bool, object.Len())
-	var failed error
+	var firstErr error
 	object.Visit(func(key []byte, value *fastjson.Value) {
-		if failed != nil {
+		if firstErr != nil {
 			return
 		}
 		name := string(key)
 		if seen[name] {
-			failed = refuse(forward.Malformed, "the field %q stands twice", name)
+			firstErr = parseErrorf(forward.Malformed, "the field %q stands twice", name)
 			return
 		}
 		seen[name] = true
-		failed = visit(name, value)
+		firstErr = visit(name, value)
 	})
-	return failed
+	return firstErr
 }
 
-func (r *chatRequest) readField(name string, value *fastjson.Value, limits parseLimits) error {
+func (r *chatRequest) parseField(name string, value *fastjson.Value, limits parseLimits) error {
 	switch name {
 	case fieldModel:
-		return r.readModel(value)
+		return r.parseModel(value)
 	case fieldMessages:
-		return r.readMessages(value, limits.messages)
+		return r.parseMessages(value, limits.maxMessages)
 	case fieldStream:
-		return r.readStream(value)
+		return r.parseStream(value)
 	case fieldN:
 		return checkN(value)
 	case fieldMaxTokens, fieldMaxCompletionTokens:
-		return r.readMaxTokens(name, value, limits.maxOutputAsked)
+		return r.parseMaxTokens(name, value, limits.maxOutputTokens)
 	}
-	if !passedFields[name] {
-		return refuse(forward.Malformed, "the field %q is not supported", name)
+	if !passthroughFields[name] {
+		return parseErrorf(forward.Malformed, "the field %q is not supported", name)
 	}
 	return nil
 }
 
-func (r *chatRequest) readModel(value *fastjson.Value) error {
+func (r *chatRequest) parseModel(value *fastjson.Value) error {
 	name, err := value.StringBytes()
 	if err != nil || len(name) == 0 {
-		return refuse(forward.Malformed, "model must be a string that is not empty")
+		return parseErrorf(forward.Malformed, "model must be a string that is not empty")
 	}
 	r.Model = id.Model(name)
 	return nil
 }
 
-func (r *chatRequest) readStream(value *fastjson.Value) error {
+func (r *chatRequest) parseStream(value *fastjson.Value) error {
 	if value.Type() == fastjson.TypeNull {
 		return nil
 	}
 	stream, err := value.Bool()
 	if err != nil {
-		return refuse(forward.Malformed, "stream must be true or false")
+		return parseErrorf(forward.Malformed, "stream must be true or false")
 	}
 	r.Stream = stream
 	return nil
 }
 
-// checkN refuses several choices: each would be an answer of its own to reserve for.
+// checkN refuses requests for several choices: tokens are reserved for one answer only.
 func checkN(value *fastjson.Value) error {
 	if value.Type() == fastjson.TypeNull {
 		return nil
 	}
 	n, err := value.Int64()
 	if err != nil || n != 1 {
-		return refuse(forward.Malformed, "n must be 1")
+		return parseErrorf(forward.Malformed, "n must be 1")
 	}
 	return nil
 }
 
-// readMaxTokens takes the lower of the two names of the output cap.
-func (r *chatRequest) readMaxTokens(name string, value *fastjson.Value, most int64) error {
+// parseMaxTokens parses max_tokens or max_completion_tokens; the lower one applies.
+func (r *chatRequest) parseMaxTokens(name string, value *fastjson.Value, limit int64) error {
 	if value.Type() == fastjson.TypeNull {
 		return nil
 	}
-	asked, err := value.Int64()
-	if err != nil || asked < 1 || asked > most {
-		return refuse(forward.Malformed, "%s must be a whole number from 1 to %d", name, most)
+	requested, err := value.Int64()
+	if err != nil || requested < 1 || requested > limit {
+		return parseErrorf(forward.Malformed, "%s must be a whole number from 1 to %d", name, limit)
 	}
-	if r.MaxTokens == 0 || asked < r.MaxTokens {
-		r.MaxTokens = asked
+	if r.MaxTokens == 0 || requested < r.MaxTokens {
+		r.MaxTokens = requested
 	}
 	return nil
 }
 
-func (r *chatRequest) readMessages(value *fastjson.Value, most int) error {
+func (r *chatRequest) parseMessages(value *fastjson.Value, limit int) error {
 	messages, err := value.Array()
 	if err != nil || len(messages) == 0 {
-		return refuse(forward.Malformed, "messages must be an array that is not empty")
+		return parseErrorf(forward.Malformed, "messages must be an array that is not empty")
 	}
-	if len(messages) > most {
-		return refuse(forward.BodyTooLarge, "at most %d messages are accepted", most)
+	if len(messages) > limit {
+		return parseErrorf(forward.BodyTooLarge, "at most %d messages are accepted", limit)
 	}
 	for _, message := range messages {
 		bytes, err := messageBytes(message)
@@ -206,11 +207,11 @@
 	return nil
 }
 
-// messageBytes counts the bytes of a message's texts, its name included.
+// messageBytes returns the total size of a message's texts, including its name.
 func messageBytes(message *fastjson.Value) (int64, error) {
 	object, err := message.Object()
 	if err != nil {
-		return 0, refuse(forward.Malformed, "each message must be an object")
+		return 0, parseErrorf(forward.Malformed, "each message must be an object")
 	}
 	var total int64
 	err = eachField(object, "messages.", func(name string, value *fastjson.Value) error {
@@ -222,7 +223,7 @@
 		return 0, err
 	}
 	if object.Get("role") == nil || object.Get("content") == nil {
-		return 0, refuse(forward.Malformed, "each message must have a role and a content")
+		return 0, parseErrorf(forward.Malformed, "each message must have a role and a content")
 	}
 	return total, nil
 }
@@ -231,30 +232,30 @@
 	switch name {
 	case "role":
 		role, err := value.StringBytes()
-		if err != nil || !roles[string(role)] {
-			return 0, refuse(forward.Malformed, "role must be system, developer, user or assistant")
+		if err != nil || !supportedRoles[string(role)] {
+			return 0, parseErrorf(forward.Malformed, "role must be system, developer, user or assistant")
 		}
 		return 0, nil
 	case "name":
 		text, err := value.StringBytes()
 		if err != nil {
-			return 0, refuse(forward.Malformed, "name must be a string")
+			return 0, parseErrorf(forward.Malformed, "name must be a string")
 		}
 		return int64(len(text)), nil
 	case "content":
 		return contentBytes(value)
 	}
-	return 0, refuse(forward.Malformed, "the message field %q is not supported", name)
+	return 0, parseErrorf(forward.Malformed, "the message field %q is not supported", name)
 }
 
-// contentBytes counts a content, which is a text or an array of text parts.
+// contentBytes returns the size of a content, which is a string or an array of text parts.
 func contentBytes(value *fastjson.Value) (int64, error) {
 	if text, err := value.StringBytes(); err == nil {
 		return int64(len(text)), nil
 	}
 	parts, err := value.Array()
 	if err != nil {
-		return 0, refuse(forward.Malformed, "content must be a string or an array of text parts")
+		return 0, parseErrorf(forward.Malformed, "content must be a string or an array of text parts")
 	}
 	var total int64
 	for _, part := range parts {
@@ -270,7 +271,7 @@
 func partBytes(part *fastjson.Value) (int64, error) {
 	object, err := part.Object()
 	if err != nil {
-		return 0, refuse(forward.Malformed, "each part of a content must be an object")
+		return 0, parseErrorf(forward.Malformed, "each part of a content must be an object")
 	}
 	var total int64
 	err = eachField(object, "messages.content.", func(name string, value *fastjson.Value) error {
@@ -282,12 +283,12 @@
 			total += int64(len(text))
 			return nil
 		}
-		return refuse(forward.Malformed, "only text parts are supported")
+		return parseErrorf(forward.Malformed, "only text parts are supported")
 	})
 	return total, err
 }
 
-// parseError is why a body isn't accepted.
+// parseError is the reason why a body is refused.
 type parseError struct {
 	cause  forward.Cause
 	detail string
@@ -297,6 +298,6 @@
 	return "native: " + e.detail
 }
 
-func refuse(cause forward.Cause, format string, args ...any) error {
+func parseErrorf(cause forward.Cause, format string, args ...any) error {
 	return &parseError{cause: cause, detail: fmt.Sprintf(format, args...)}
 }
--- a/internal/native/parse_test.go
+++ b/internal/native/parse_test.go
@@ -11,7 +11,7 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-var testLimits = parseLimits{messages: 4, maxOutputAsked: 1000}
+var testLimits = parseLimits{maxMessages: 4, maxOutputTokens: 1000}
 
 func TestParseChat(t *testing.T) {
 	c := qt.New(t)
@@ -23,21 +23,21 @@
 	c.Assert(got, qt.Equals, chatRequest{Model: "m", Stream: true, ContentBytes: 3 + 2 + 2 + 2, MaxTokens: 5})
 }
 
-func TestBoundsOfTokens(t *testing.T) {
+func TestMaxPromptAndOutputTokens(t *testing.T) {
 	c := qt.New(t)
 	model := contract.Model{BytesPerToken: 4}
 	for bytes, want := range map[int64]id.Tokens{0: 0, 1: 1, 4: 1, 5: 2} {
-		c.Assert(promptBound(bytes, model), qt.Equals, want)
+		c.Assert(maxPromptTokens(bytes, model), qt.Equals, want)
 	}
-	c.Assert(outputCap(0, 0, 9), qt.Equals, id.Tokens(9))
-	c.Assert(outputCap(0, 7, 9), qt.Equals, id.Tokens(7))
-	c.Assert(outputCap(5, 7, 9), qt.Equals, id.Tokens(5))
-	c.Assert(outputCap(50, 70, 9), qt.Equals, id.Tokens(9))
+	c.Assert(maxOutputTokens(0, 0, 9), qt.Equals, id.Tokens(9))
+	c.Assert(maxOutputTokens(0, 7, 9), qt.Equals, id.Tokens(7))
+	c.Assert(maxOutputTokens(5, 7, 9), qt.Equals, id.Tokens(5))
+	c.Assert(maxOutputTokens(50, 70, 9), qt.Equals, id.Tokens(9))
 }
 
-// FuzzParseChat holds the parser against the standard library's decoder, as an
-// engine might use it: what passes must mean the same to both, else a request
-// could reserve for less than it runs.
+// FuzzParseChat compares parseChat with encoding/json, which stands for an engine's parser. A
+// body that parseChat accepts must have the same meaning for both, or a request could use
+// more tokens than it reserved.
 func FuzzParseChat(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"hi"}],"max_tokens":3}`))
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"\ud800"}]}]}`))
@@ -64,19 +64,20 @@
 		if want.MaxTokens != nil && float64(got.MaxTokens) > *want.MaxTokens {
 			t.Fatalf("%q: output cap %d above %v", body, got.MaxTokens, *want.MaxTokens)
 		}
-		var least int64
+		var minBytes int64
 		for _, message := range want.Messages {
 			if text, ok := message.Content.(string); ok {
-				least += int64(len(text))
+				minBytes += int64(len(text))
 			}
 		}
-		if got.ContentBytes < least {
-			t.Fatalf("%q: counted %d bytes of %d", body, got.ContentBytes, least)
+		if got.ContentBytes < minBytes {
+			t.Fatalf("%q: counted %d bytes of %d", body, got.ContentBytes, minBytes)
 		}
 	})
 }
 
-// FuzzDocument feeds what operators and backend servers write.
+// FuzzDocument checks that decoded documents and backend entries have the values that routers
+// rely on.
 func FuzzDocument(f *testing.F) {
 	f.Add([]byte(`{"models":[{"name":"m","bytes_per_token":4,"context_tokens":9,"tokens_per_event":1,"attempts":1}],"contracts":[]}`))
 	f.Add([]byte(`{"id":"e","service":"model/m","address":"127.0.0.1:1","failure_domain":"d"}`))
--- a/internal/native/refusal.go
+++ b/internal/native/refusal.go
@@ -10,11 +10,11 @@
 	"chicorytiller.example/chicorytiller/internal/request"
 )
 
-// refusalOf tells a caller why its body isn't accepted.
-func refusalOf(err error) *forward.Refusal {
-	fault := &parseError{}
-	if errors.As(err, &fault) {
-		return &forward.Refusal{Cause: fault.cause, Detail: fault.detail}
+// refusalFromError returns the refusal for an error of parseChat.
+func refusalFromError(err error) *forward.Refusal {
+	parseErr := &parseError{}
+	if errors.As(err, &parseErr) {
+		return &forward.Refusal{Cause: parseErr.cause, Detail: parseErr.detail}
 	}
 	return &forward.Refusal{Cause: forward.Malformed, Detail: err.Error()}
 }
@@ -22,17 +22,17 @@
 func writeRefusal(w http.ResponseWriter, status int, refusal forward.Refusal) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(refusalBody(refusal, nil)) // as above
+	_, _ = w.Write(refusalBody(refusal, nil)) // fails only if the caller has disconnected
 }
 
-// Outcomes that a refusal tells.
+// Values of the field outcome.
 const (
-	outcomeNotRun  = "not_run" // it has not run and never will
+	outcomeNotRun  = "not_run" // the request has not run and never will
 	outcomeUnknown = "unknown"
 )
 
-// refusalBody is a refusal in OpenAI's shape, with a typed cause and what is known of
-// the request.
+// refusalBody returns a refusal in the error format of the OpenAI API, extended with a cause
+// and whether the request may have run. r may be nil.
 func refusalBody(refusal forward.Refusal, r *request.Request) []byte {
 	body := struct {
 		Message      string        `json:"message"`
--- a/internal/native/stored_test.go
+++ b/internal/native/stored_test.go
@@ -7,8 +7,8 @@
 	"chicorytiller.example/chicorytiller/internal/wireform"
 )
 
-// Guards against a renamed field or key of the operators' document and the backend
-// servers' entries that programs of another version don't find.
+// A program of another version would not find a renamed field or key of the operators'
+// document and the backend servers' entries.
 func TestDocumentsKeepTheirStoredForm(t *testing.T) {
 	wireform.Compare(t, "stored.golden", []string{
 		"keys " + ConfigPrefix + " " + ConfigKey + " " + EvacuatePrefix + " " + BackendsPrefix + " " + claimsPrefix,
