--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -79,7 +79,7 @@
 		asked++
 		loan, err := c.lend(ctx, address, account, tokens-got, noWaiter)
 		if err != nil {
-			continue // the peer is in back-off now
+			continue // the next peer is asked
 		}
 		got += loan.Tokens
 		used += loan.Used
@@ -208,11 +208,11 @@
 	return c.callWithTimeout(ctx, callTimeout, address, method, request, answer)
 }
 
-// callWithTimeout makes a call that may take up to timeout. If the peer does not answer in time,
-// it is put in back-off and its connection is closed, which fails all other calls on it. That is
-// not done if ctx ended, or if the peer has answered another call meanwhile: a request whose
-// caller disconnects, or that waits for tokens until its deadline, would cut all other requests
-// off from their account's home for seconds.
+// callWithTimeout makes a call that may take up to timeout. If the call fails or the peer does not
+// answer in time, the peer is put in back-off and its connection is closed, which fails all other
+// calls on it. That is not done if ctx ended, or if the peer has answered another call since this
+// one began: a request whose caller disconnects, or that waits for tokens until its deadline,
+// would otherwise cut all other requests off from their account's home for seconds.
 func (c *Client) callWithTimeout(ctx context.Context, timeout time.Duration, address, method string, request, answer any) error {
 	client, err := c.connect(address)
 	if err != nil {
--- a/internal/peers/pack.go
+++ b/internal/peers/pack.go
@@ -134,7 +134,7 @@
 		return nil
 	}
 	if xxhash.Sum64(a.Packed.Data) != a.Packed.Digest {
-		return errors.Wrap(ErrCorruptAnswer, "digest mismatch")
+		return errors.Wrap(ErrCorruptAnswer, "digest")
 	}
 	content := packedContent{}
 	r := flate.NewReader(bytes.NewReader(a.Packed.Data))
