--- a/internal/callers/caller.go
+++ b/internal/callers/caller.go
@@ -57,7 +57,7 @@
 	return statusCodes[cause]
 }
 
-// Refuse sends a refusal as JSON.
+// Refuse implements forward.Caller.
 func (c *httpCaller) Refuse(refusal forward.Refusal) {
 	header := c.w.Header()
 	if refusal.RetryAfter > 0 {
--- a/internal/callers/front.go
+++ b/internal/callers/front.go
@@ -27,7 +27,7 @@
 	ShuttingDown func() bool
 	Policy       func() *policy.Policy // the result is nil until a configuration is known
 	// Resolve returns the addresses of the routers that a caller in a failure domain should
-	// use; caller identifies the caller.
+	// use. caller is a string that differs between callers, such as an IP address.
 	Resolve func(domain, caller string) []string
 	// EntryTTL is how long callers may cache the result of Resolve.
 	EntryTTL time.Duration
--- a/internal/contract/key.go
+++ b/internal/contract/key.go
@@ -9,8 +9,8 @@
 	"github.com/pkg/errors"
 )
 
-// keyBytes is the number of random bytes in an API key. With 256 bits, a key can't be
-// found from its unsalted hash by search.
+// keyBytes is the number of random bytes in an API key. With 256 bits, brute force
+// can't recover a key from its unsalted hash.
 const keyBytes = 32
 
 // keyPrefix starts every API key, so that leaked keys can be recognized in logs.
@@ -23,7 +23,7 @@
 }
 
 // GenerateKey returns a new API key and its hash. random must be a cryptographically
-// secure source such as crypto/rand.Reader; only its errors are returned.
+// secure source such as crypto/rand.Reader. An error means that reading from random failed.
 func GenerateKey(random io.Reader) (key string, hash KeyHash, err error) {
 	raw := make([]byte, keyBytes)
 	if _, err := io.ReadFull(random, raw); err != nil {
--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -17,7 +17,7 @@
 // ErrTooLarge is returned for an event larger than MaxEventBytes.
 var ErrTooLarge = errors.New("eventstream: event too large")
 
-// Event is one event.
+// Event is a server-sent event.
 type Event struct {
 	Raw   []byte // as sent, including the empty line at its end
 	ID    int64  // value of the id field, valid if HasID
--- a/internal/native/backends.go
+++ b/internal/native/backends.go
@@ -26,7 +26,7 @@
 	HeaderLastEvent   = "Last-Event-Id"
 )
 
-// Codec maps requests and answers to the headers above.
+// Codec encodes requests to backend servers and decodes their answers with these headers.
 var Codec = upstream.HeaderCodec{Names: upstream.HeaderNames{
 	RequestID: HeaderRequestID, ServerID: HeaderBackend, TimeLeft: HeaderTimeLeft, LastEventID: HeaderLastEvent,
 	Account: HeaderAccount, Priority: HeaderUrgency, NotExecuted: HeaderNotExecuted, Load: HeaderLoad, OutputTokens: HeaderOutput,
--- a/internal/native/decode.go
+++ b/internal/native/decode.go
@@ -107,7 +107,8 @@
 	return nil
 }
 
-// setMaxTokens sets the output limit in a body that parseChat has checked.
+// setMaxTokens sets max_tokens in a body that parseChat has accepted and removes
+// max_completion_tokens.
 func setMaxTokens(body []byte, maxTokens id.Tokens) []byte {
 	parser := chatParsers.Get()
 	defer chatParsers.Put(parser)
--- a/internal/native/document.go
+++ b/internal/native/document.go
@@ -18,7 +18,7 @@
 
 // Store keys.
 const (
-	// ConfigPrefix is the prefix of all configuration.
+	// ConfigPrefix is the prefix of the Document and of evacuation orders.
 	ConfigPrefix = "chicory-config/"
 	// ConfigKey is the key of the operators' Document.
 	ConfigKey = ConfigPrefix + "document"
@@ -34,7 +34,7 @@
 // ErrInvalidDocument is the error for an invalid Document or BackendEntry.
 var ErrInvalidDocument = errors.New("native: unusable document")
 
-// Document is the configuration by operators, except backend servers and evacuations. Each
+// Document is the operators' configuration except for backend servers and evacuations. Each
 // change replaces the whole document.
 type Document struct {
 	Version      int64               `json:"version"`    // increases with each change
@@ -94,20 +94,20 @@
 			return errors.Errorf("contracts[%d]: %q stands twice", i, c.Account)
 		}
 		accounts[c.Account] = true
-		for n, key := range c.Keys {
+		for j, key := range c.Keys {
 			if keys[key] {
-				return errors.Errorf("contracts[%d].keys[%d]: another contract has the key", i, n)
+				return errors.Errorf("contracts[%d].keys[%d]: another contract has the key", i, j)
 			}
 			keys[key] = true
 		}
-		for n, model := range c.Models {
+		for j, model := range c.Models {
 			if !models[model] {
-				return errors.Errorf("contracts[%d].models[%d]: %q is no model of the document", i, n, model)
+				return errors.Errorf("contracts[%d].models[%d]: %q is no model of the document", i, j, model)
 			}
 		}
-		for n, service := range c.Services {
+		for j, service := range c.Services {
 			if !services[service] {
-				return errors.Errorf("contracts[%d].services[%d]: %q is no service of the document", i, n, service)
+				return errors.Errorf("contracts[%d].services[%d]: %q is no service of the document", i, j, service)
 			}
 		}
 	}
