--- a/internal/store/age_test.go
+++ b/internal/store/age_test.go
@@ -16,165 +16,165 @@
 	"chicorytiller.example/chicorytiller/internal/store/memstore"
 )
 
-// fate is what becomes of one call over an open connection, or to another router.
-type fate struct {
-	Hangs bool // it is never answered
-	Fails bool // it breaks after Takes
-	Takes time.Duration
+// callBehavior is what becomes of one call over an open connection, or to another router.
+type callBehavior struct {
+	hangs    bool // it is never answered
+	fails    bool // it breaks after Takes
+	duration time.Duration
 }
 
-// drawFates draws what becomes of calls, in their order; later ones are answered at once.
-func drawFates(t *rapid.T, label string) *fates {
-	draw := rapid.Custom(func(t *rapid.T) fate {
+// drawCalls draws what becomes of calls, in their order; later ones are answered at once.
+func drawCalls(t *rapid.T, label string) *callScript {
+	draw := rapid.Custom(func(t *rapid.T) callBehavior {
 		kind := rapid.IntRange(0, 3).Draw(t, "kind")
-		takes := time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
-		return fate{Hangs: kind == 0, Fails: kind == 1, Takes: takes}
+		duration := time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
+		return callBehavior{hangs: kind == 0, fails: kind == 1, duration: duration}
 	})
-	return &fates{list: rapid.SliceOfN(draw, 0, 40).Draw(t, label)}
+	return &callScript{calls: rapid.SliceOfN(draw, 0, 40).Draw(t, label)}
 }
 
-type fates struct {
-	mu   sync.Mutex
-	list []fate
+type callScript struct {
+	mu    sync.Mutex
+	calls []callBehavior
 }
 
-// meet lets one call have its fate; it returns whether the call goes through.
-func (f *fates) meet(ctx context.Context) bool {
-	f.mu.Lock()
-	next := fate{}
-	if len(f.list) > 0 {
-		next, f.list = f.list[0], f.list[1:]
+// next lets one call have its fate; it returns whether the call goes through.
+func (s *callScript) next(ctx context.Context) bool {
+	s.mu.Lock()
+	call := callBehavior{}
+	if len(s.calls) > 0 {
+		call, s.calls = s.calls[0], s.calls[1:]
 	}
-	f.mu.Unlock()
-	takes := next.Takes
-	if next.Hangs {
-		takes = time.Hour
+	s.mu.Unlock()
+	duration := call.duration
+	if call.hangs {
+		duration = time.Hour
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(takes):
-		return !next.Hangs && !next.Fails
+	case <-time.After(duration):
+		return !call.hangs && !call.fails
 	}
 }
 
-// fatedStore answers new calls within a round trip; those over open connections meet fates.
-type fatedStore struct {
+// scriptedStore answers new calls within a round trip; those over open connections meet fates.
+type scriptedStore struct {
 	*memstore.Store
-	open *fates
+	open *callScript
 }
 
 const roundTrip = 5 * time.Millisecond
 
-func (s fatedStore) ReadNewConn(ctx context.Context, prefix string) (store.Snapshot, error) {
+func (s scriptedStore) ReadNewConn(ctx context.Context, prefix string) (store.Snapshot, error) {
 	time.Sleep(roundTrip)
 	return s.Store.Read(ctx, prefix)
 }
 
-func (s fatedStore) WatchNewConn(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
+func (s scriptedStore) WatchNewConn(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
 	time.Sleep(roundTrip)
 	return s.Store.Watch(ctx, prefix, after, wait)
 }
 
-func (s fatedStore) Read(ctx context.Context, prefix string) (store.Snapshot, error) {
-	if !s.open.meet(ctx) {
+func (s scriptedStore) Read(ctx context.Context, prefix string) (store.Snapshot, error) {
+	if !s.open.next(ctx) {
 		return store.Snapshot{}, store.ErrOutcomeUnknown
 	}
 	return s.Store.Read(ctx, prefix)
 }
 
-func (s fatedStore) Watch(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
-	if !s.open.meet(ctx) {
+func (s scriptedStore) Watch(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
+	if !s.open.next(ctx) {
 		return store.Changes{}, store.ErrOutcomeUnknown
 	}
 	return s.Store.Watch(ctx, prefix, after, wait)
 }
 
-// fatedRelay reads another follower's feed; its calls meet fates and time out.
-type fatedRelay struct {
+// scriptedRelay reads another follower's feed; its calls meet fates and time out.
+type scriptedRelay struct {
 	feed  *store.Feed
-	calls *fates
+	calls *callScript
 }
 
 const relayTimeout = 750 * time.Millisecond
 
-func (r fatedRelay) Active() bool { return true }
+func (r scriptedRelay) Active() bool { return true }
 
-func (r fatedRelay) Read(ctx context.Context, _ string, after store.Revision) (store.Snapshot, error) {
+func (r scriptedRelay) Read(ctx context.Context, _ string, after store.Revision) (store.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	if !r.calls.meet(ctx) {
+	if !r.calls.next(ctx) {
 		return store.Snapshot{}, store.ErrNoFeed
 	}
 	return r.feed.Read(after)
 }
 
-func (r fatedRelay) Watch(ctx context.Context, _ string, after store.Revision) (store.Changes, error) {
+func (r scriptedRelay) Watch(ctx context.Context, _ string, after store.Revision) (store.Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	if !r.calls.meet(ctx) {
+	if !r.calls.next(ctx) {
 		return store.Changes{}, store.ErrNoFeed
 	}
 	return r.feed.Watch(ctx, after, 500*time.Millisecond)
 }
 
-// lastValue is a sink that keeps the value known last.
-type lastValue struct {
+// valueSink is a sink that keeps the value known last.
+type valueSink struct {
 	mu    sync.Mutex
 	value string
 }
 
-func (l *lastValue) Reset(items []store.Item, _ store.Silence) {
+func (s *valueSink) Reset(items []store.Item, _ store.Silence) {
 	for _, item := range items {
-		l.put(item)
+		s.set(item)
 	}
 }
 
-func (l *lastValue) Apply(events []store.Event, _ store.Silence) {
+func (s *valueSink) Apply(events []store.Event, _ store.Silence) {
 	for _, e := range events {
-		l.put(e.Item)
+		s.set(e.Item)
 	}
 }
 
-func (l *lastValue) SetReachable(bool, error) {}
+func (s *valueSink) SetReachable(bool, error) {}
 
-func (l *lastValue) put(item store.Item) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.value = string(item.Value)
+func (s *valueSink) set(item store.Item) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.value = string(item.Value)
 }
 
-func (l *lastValue) known() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.value
+func (s *valueSink) get() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.value
 }
 
 // Guards against old knowledge while calls over open connections and to another router hang, break or take long.
-func TestAgeOfKnowledgeIsBoundedWhateverCallsTake(t *testing.T) {
+func TestDataAgeIsBoundedDespiteFailingCalls(t *testing.T) {
 	const (
-		checkAfter = 1400 * time.Millisecond
-		lead       = 150 * time.Millisecond // of the one that reads, over the one that follows
-		bound      = checkAfter + lead + 2*roundTrip
+		checkAfter        = 1400 * time.Millisecond
+		relayedCheckDelay = 150 * time.Millisecond // of the one that reads, over the one that follows
+		bound             = checkAfter + relayedCheckDelay + 2*roundTrip
 	)
 	rapid.Check(t, func(rt *rapid.T) {
-		readers, followers, others := drawFates(rt, "reader's calls"), drawFates(rt, "follower's calls"), drawFates(rt, "relay's calls")
+		readerCalls, followerCalls, relayCalls := drawCalls(rt, "reader's calls"), drawCalls(rt, "follower's calls"), drawCalls(rt, "relay's calls")
 		pauses := rapid.SliceOfN(rapid.IntRange(1, 3000), 1, 8).Draw(rt, "ms between changes")
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			s := memstore.New(nil)
 			s.Put("a/x", []byte("0"))
 			feed := &store.Feed{}
-			sinks := map[string]*lastValue{"reader": {}, "follower": {}}
-			usual := store.Follower{Prefix: "a/", MaxWait: time.Second, Pause: 200 * time.Millisecond, Burst: 4,
+			sinks := map[string]*valueSink{"reader": {}, "follower": {}}
+			base := store.Follower{Prefix: "a/", MaxWait: time.Second, Pause: 200 * time.Millisecond, Burst: 4,
 				Timeout: 500 * time.Millisecond, CheckAfter: checkAfter}
-			reader, follower := usual, usual
-			reader.Store, reader.Feed, reader.Sink = fatedStore{s, readers}, feed, sinks["reader"]
-			follower.Store, follower.Relay, follower.Sink = fatedStore{s, followers}, fatedRelay{feed, others}, sinks["follower"]
+			reader, follower := base, base
+			reader.Store, reader.Feed, reader.Sink = scriptedStore{s, readerCalls}, feed, sinks["reader"]
+			follower.Store, follower.Relay, follower.Sink = scriptedStore{s, followerCalls}, scriptedRelay{feed, relayCalls}, sinks["follower"]
 			ctx, cancel := context.WithCancel(t.Context())
-			var tasks conc.WaitGroup
-			tasks.Go(func() { reader.Run(ctx) })
-			tasks.Go(func() { follower.Run(ctx) })
+			var wg conc.WaitGroup
+			wg.Go(func() { reader.Run(ctx) })
+			wg.Go(func() { follower.Run(ctx) })
 			time.Sleep(bound)
 			for i, pause := range pauses {
 				time.Sleep(time.Duration(pause) * time.Millisecond)
@@ -182,11 +182,11 @@
 				s.Put("a/x", []byte(value))
 				time.Sleep(bound)
 				for name, sink := range sinks {
-					c.Check(sink.known(), qt.Equals, value, qt.Commentf("%s, change %d", name, i))
+					c.Check(sink.get(), qt.Equals, value, qt.Commentf("%s, change %d", name, i))
 				}
 			}
 			cancel()
-			tasks.Wait()
+			wg.Wait()
 		})
 		if t.Failed() {
 			rt.FailNow()
@@ -194,49 +194,49 @@
 	})
 }
 
-// cutStore answers nothing.
-type cutStore struct{ store.Store }
+// unreachableStore answers nothing.
+type unreachableStore struct{ store.Store }
 
-func (cutStore) Read(ctx context.Context, _ string) (store.Snapshot, error) {
+func (unreachableStore) Read(ctx context.Context, _ string) (store.Snapshot, error) {
 	<-ctx.Done()
 	return store.Snapshot{}, store.ErrOutcomeUnknown
 }
 
-func (s cutStore) ReadNewConn(ctx context.Context, prefix string) (store.Snapshot, error) {
+func (s unreachableStore) ReadNewConn(ctx context.Context, prefix string) (store.Snapshot, error) {
 	return s.Read(ctx, prefix)
 }
 
-func (s cutStore) WatchNewConn(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
+func (s unreachableStore) WatchNewConn(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
 	return s.Watch(ctx, prefix, after, wait)
 }
 
-func (s cutStore) Watch(ctx context.Context, _ string, _ store.Revision, _ time.Duration) (store.Changes, error) {
+func (s unreachableStore) Watch(ctx context.Context, _ string, _ store.Revision, _ time.Duration) (store.Changes, error) {
 	<-ctx.Done()
 	return store.Changes{}, store.ErrOutcomeUnknown
 }
 
 // Guards against a router without the store that does not learn from another one which is back.
-func TestRouterCutFromTheStoreLearnsFromOthersAgain(t *testing.T) {
+func TestPartitionedRouterFollowsPeersAgain(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		others := drawFates(rt, "relay's calls")
+		relayCalls := drawCalls(rt, "relay's calls")
 		synctest.Test(t, func(t *testing.T) {
 			s := memstore.New(nil)
 			s.Put("a/x", []byte("0"))
-			feed, sink := &store.Feed{}, &lastValue{}
+			feed, sink := &store.Feed{}, &valueSink{}
 			reader := store.Follower{Store: s, Prefix: "a/", MaxWait: time.Second, Pause: 200 * time.Millisecond,
-				Timeout: 500 * time.Millisecond, CheckAfter: 1400 * time.Millisecond, Sink: &lastValue{}, Feed: feed}
+				Timeout: 500 * time.Millisecond, CheckAfter: 1400 * time.Millisecond, Sink: &valueSink{}, Feed: feed}
 			follower := reader
-			follower.Store, follower.Relay, follower.Feed, follower.Sink = cutStore{s}, fatedRelay{feed, others}, nil, sink
+			follower.Store, follower.Relay, follower.Feed, follower.Sink = unreachableStore{s}, scriptedRelay{feed, relayCalls}, nil, sink
 			ctx, cancel := context.WithCancel(t.Context())
-			var tasks conc.WaitGroup
-			tasks.Go(func() { reader.Run(ctx) })
-			tasks.Go(func() { follower.Run(ctx) })
+			var wg conc.WaitGroup
+			wg.Go(func() { reader.Run(ctx) })
+			wg.Go(func() { follower.Run(ctx) })
 			time.Sleep(time.Minute) // all fates are met
 			s.Put("a/x", []byte("1"))
 			time.Sleep(300 * time.Millisecond) // the pauses of both, and more
-			qt.Check(t, sink.known(), qt.Equals, "1")
+			qt.Check(t, sink.get(), qt.Equals, "1")
 			cancel()
-			tasks.Wait()
+			wg.Wait()
 		})
 		if t.Failed() {
 			rt.FailNow()
--- a/internal/store/feed.go
+++ b/internal/store/feed.go
@@ -28,22 +28,22 @@
 	// Now is the clock; nil means time.Now. It must go on while the VM is suspended.
 	Now func() time.Time
 
-	mu     sync.Mutex
-	items  map[string]Item
-	events []feedEvent // after floor, in the order of what they were told at
-	floor  Revision    // a reader that knows less must read everything
-	began  Revision    // of the first read: what was before it is not known here
-	at     Revision
+	mu            sync.Mutex
+	items         map[string]Item
+	events        []feedEvent // after floor, in the order of what they were told at
+	minRevision   Revision    // a reader that knows less must read everything
+	firstRevision Revision    // of the first read: what was before it is not known here
+	at            Revision
 	// asOf: what is known is the store's state of this moment or a later one.
 	asOf time.Time
 	// freshUntil is when what is known gets too old to be served.
 	freshUntil time.Time
 	// silence is the last time without an answer that was remarkable, silentAt the
 	// revision known until then, and silenceTold when it was told of.
-	silence     Silence
-	silentAt    Revision
-	silenceTold time.Time
-	heard       chan struct{} // closed and replaced with each answer
+	silence         Silence
+	silenceRevision Revision
+	silenceNotedAt  time.Time
+	updated         chan struct{} // closed and replaced with each answer
 }
 
 // feedEvent is a change with the store's revision at which this feed learned it. A watch
@@ -51,12 +51,12 @@
 // the feed's readers know by then: they would never be told of it by its own revision.
 type feedEvent struct {
 	Event
-	told Revision
+	learnedAt Revision
 }
 
-// eventsMost bounds the changes that are kept: what a configuration storm and the
+// maxFeedEvents bounds the changes that are kept: what a configuration storm and the
 // restart of a whole fleet make in some seconds. A reader that lacks more reads all.
-const eventsMost = 512
+const maxFeedEvents = 512
 
 func (f *Feed) now() time.Time {
 	if f.Now == nil {
@@ -65,19 +65,19 @@
 	return f.Now()
 }
 
-// learn takes what the store answered: a read or changes. silence is the time without an
+// update takes what the store answered: a read or changes. silence is the time without an
 // answer before it, asOf the moment whose state it tells at least, and freshFor how long
 // from then on it may be served.
-func (f *Feed) learn(s *Snapshot, c *Changes, silence Silence, asOf time.Time, freshFor time.Duration) {
+func (f *Feed) update(s *Snapshot, c *Changes, silence Silence, asOf time.Time, freshFor time.Duration) {
 	if f == nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if silence.Length > freshFor {
-		f.note(silence)
+		f.noteSilence(silence)
 	}
-	f.know(s, c)
+	f.merge(s, c)
 	if asOf.After(f.asOf) {
 		f.asOf = asOf
 	}
@@ -85,30 +85,30 @@
 	f.notify()
 }
 
-// hear takes what another router told, and the silence before it, which is not served.
+// updateFromPeer takes what another router told, and the silence before it, which is not served.
 // Without it this feed would lack those changes once this router follows the store itself
-// again, and its readers would never hear of them.
-func (f *Feed) hear(s *Snapshot, c *Changes, silence Silence) {
+// again, and its readers would never updateFromPeer of them.
+func (f *Feed) updateFromPeer(s *Snapshot, c *Changes, silence Silence) {
 	if f == nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if silence.Length > 0 {
-		f.note(silence)
+		f.noteSilence(silence)
 	}
-	f.know(s, c)
+	f.merge(s, c)
 }
 
-// note keeps a silence that came after what is known.
-func (f *Feed) note(silence Silence) {
-	f.silence, f.silentAt, f.silenceTold = silence, f.at, f.now()
+// noteSilence keeps a silence that came after what is known.
+func (f *Feed) noteSilence(silence Silence) {
+	f.silence, f.silenceRevision, f.silenceNotedAt = silence, f.at, f.now()
 }
 
-func (f *Feed) know(s *Snapshot, c *Changes) {
-	defer f.forget()
+func (f *Feed) merge(s *Snapshot, c *Changes) {
+	defer f.trimEvents()
 	if s != nil {
-		f.reset(*s)
+		f.applySnapshot(*s)
 		return
 	}
 	for _, e := range c.Events {
@@ -132,17 +132,17 @@
 }
 
 func (f *Feed) notify() {
-	if f.heard != nil {
-		close(f.heard)
+	if f.updated != nil {
+		close(f.updated)
 	}
-	f.heard = make(chan struct{})
+	f.updated = make(chan struct{})
 }
 
-// reset turns a read into the changes since the last one, so that readers need not read
+// applySnapshot turns a read into the changes since the last one, so that readers need not read
 // everything each time that a watch of this router's failed.
-func (f *Feed) reset(s Snapshot) {
+func (f *Feed) applySnapshot(s Snapshot) {
 	if f.items == nil {
-		f.start(s)
+		f.initialize(s)
 		return
 	}
 	present := make(map[string]bool, len(s.Items))
@@ -160,17 +160,17 @@
 	f.at = max(f.at, s.At)
 }
 
-// start takes the first read: who knows less must read everything too.
-func (f *Feed) start(s Snapshot) {
+// initialize takes the first read: who knows less must read everything too.
+func (f *Feed) initialize(s Snapshot) {
 	f.items = make(map[string]Item, len(s.Items))
 	for _, item := range s.Items {
 		f.items[item.Key] = item
 	}
-	f.floor, f.began, f.at = s.At, s.At, s.At
+	f.minRevision, f.firstRevision, f.at = s.At, s.At, s.At
 }
 
 // apply takes one change, which readers are told of whose knowledge ends before told.
-func (f *Feed) apply(e Event, told Revision) {
+func (f *Feed) apply(e Event, learnedAt Revision) {
 	before, known := f.items[e.Key]
 	if e.Deleted {
 		delete(f.items, e.Key)
@@ -180,13 +180,13 @@
 			return
 		}
 	}
-	f.events = append(f.events, feedEvent{Event: e, told: told})
+	f.events = append(f.events, feedEvent{Event: e, learnedAt: learnedAt})
 }
 
-// forget drops the changes beyond those that are kept.
-func (f *Feed) forget() {
-	if extra := len(f.events) - eventsMost; extra > 0 {
-		f.floor = max(f.floor, f.events[extra-1].told)
+// trimEvents drops the changes beyond those that are kept.
+func (f *Feed) trimEvents() {
+	if extra := len(f.events) - maxFeedEvents; extra > 0 {
+		f.minRevision = max(f.minRevision, f.events[extra-1].learnedAt)
 		f.events = append([]feedEvent(nil), f.events[extra:]...)
 	}
 }
@@ -202,7 +202,7 @@
 		return Snapshot{}, ErrBehind
 	}
 	s := Snapshot{At: f.at, Items: make([]Item, 0, len(f.items)), Lag: f.now().Sub(f.asOf),
-		Silence: f.silenceSince(after), Continuous: after >= f.began}
+		Silence: f.silenceSince(after), Continuous: after >= f.firstRevision}
 	for _, item := range f.items {
 		s.Items = append(s.Items, item)
 	}
@@ -213,51 +213,51 @@
 // the store has answered this router again, at the latest after wait, or when ctx ends. A
 // reader so hears from each answer of the store that nothing has changed until then.
 func (f *Feed) Watch(ctx context.Context, after Revision, wait time.Duration) (Changes, error) {
-	began := f.now()
-	changes, heard, err := f.since(after, began)
+	callStart := f.now()
+	changes, updated, err := f.since(after, callStart)
 	if err != nil || len(changes.Events) > 0 {
 		return changes, err
 	}
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	select {
-	case <-heard:
+	case <-updated:
 	case <-deadline.C:
 	case <-ctx.Done():
 	}
-	changes, _, err = f.since(after, began)
+	changes, _, err = f.since(after, callStart)
 	return changes, err
 }
 
 // since returns what is known after a revision to a call that came in at began, and the
 // channel that tells of the next answer.
-func (f *Feed) since(after Revision, began time.Time) (Changes, <-chan struct{}, error) {
+func (f *Feed) since(after Revision, callStart time.Time) (Changes, <-chan struct{}, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
 	if !now.Before(f.freshUntil) {
 		return Changes{}, nil, ErrNoFeed
 	}
-	if after < f.floor {
+	if after < f.minRevision {
 		return Changes{}, nil, ErrCompacted
 	}
-	changes := Changes{At: f.at, Lag: began.Sub(f.asOf)}
+	changes := Changes{At: f.at, Lag: callStart.Sub(f.asOf)}
 	for _, e := range f.events {
-		if e.told > after {
+		if e.learnedAt > after {
 			changes.Events = append(changes.Events, e.Event)
 		}
 	}
 	changes.Silence = f.silenceSince(after)
-	return changes, f.heard, nil
+	return changes, f.updated, nil
 }
 
 // silenceSince is the remarkable silence that came after what a reader knows; none if there
 // was none.
 func (f *Feed) silenceSince(after Revision) Silence {
-	if f.silence.Length == 0 || after > f.silentAt {
+	if f.silence.Length == 0 || after > f.silenceRevision {
 		return Silence{}
 	}
 	silence := f.silence
-	silence.Ago += f.now().Sub(f.silenceTold)
+	silence.Ago += f.now().Sub(f.silenceNotedAt)
 	return silence
 }
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -79,25 +79,25 @@
 	// Now is a clock that goes on while the VM is suspended; nil means time.Now.
 	Now func() time.Time
 
-	answers chan answer
-
-	at     Revision
-	synced bool
-	asOf   time.Time // what is known is the store's state of this moment or a later one
-	lastOK time.Time // of the last answer, from wherever
-	// reached is whether the last call to the store was answered, as the sink was told.
-	reached, started bool
+	results chan callResult
+
+	at         Revision
+	synced     bool
+	asOf       time.Time // what is known is the store's state of this moment or a later one
+	lastAnswer time.Time // of the last answer, from wherever
+	// reachable is whether the last call to the store was answered, as the sink was told.
+	reachable, reported bool
 	// failing: the last call to the store got no answer. storeOK is the start of the last
 	// one that got one.
-	failing bool
-	storeOK time.Time
+	failing          bool
+	lastStoreOKStart time.Time
 	// relaying: this router follows others.
-	relaying bool
-	sourced  bool // an answer came
-	relayed  bool // the last usual one came from another router
+	relaying    bool
+	sourceKnown bool // an answer came
+	lastRelayed bool // the last usual one came from another router
 
-	usual  usualCall
-	checks checks
+	regular regularCall
+	checks  checks
 }
 
 // Run follows until ctx ends.
@@ -106,32 +106,32 @@
 	var calls conc.WaitGroup
 	defer calls.Wait()
 	defer cancel()
-	f.begin()
+	f.setup()
 	for {
 		f.startDue(ctx, &calls)
-		timer := time.NewTimer(f.untilDue())
+		timer := time.NewTimer(f.untilNextDue())
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
-		case a := <-f.answers:
-			f.take(a)
+		case r := <-f.results:
+			f.handleResult(r)
 		case <-timer.C:
 		}
 		timer.Stop()
-		f.lookAround()
+		f.updateRelaying()
 	}
 }
 
-// begin counts the start as knowledge of nothing, so that the first call has its time.
-func (f *Follower) begin() {
+// setup counts the start as knowledge of nothing, so that the first call has its time.
+func (f *Follower) setup() {
 	if f.Backoff == nil {
 		f.Backoff = &Backoff{}
 	}
-	f.answers = make(chan answer)
+	f.results = make(chan callResult)
 	f.asOf = f.now()
-	f.usual.credit = float64(f.Burst)
-	f.lookAround()
+	f.regular.burstTokens = float64(f.Burst)
+	f.updateRelaying()
 }
 
 func (f *Follower) now() time.Time {
@@ -141,34 +141,34 @@
 	return f.Now()
 }
 
-// lookAround sees whom to ask. It is done once a turn: the answer takes a look at the list
+// updateRelaying sees whom to ask. It is done once a turn: the answer takes a look at the list
 // of all routers.
-func (f *Follower) lookAround() {
+func (f *Follower) updateRelaying() {
 	f.relaying = f.Relay != nil && f.Relay.Active()
 }
 
-// gateMost is the longest time between two calls to a store that doesn't answer.
-func (f *Follower) gateMost() time.Duration {
+// maxBackoff is the longest time between two calls to a store that doesn't answer.
+func (f *Follower) maxBackoff() time.Duration {
 	if f.relaying {
-		return gateMostRelayed
+		return backoffMaxRelayed
 	}
-	return gateMost
+	return backoffMax
 }
 
-// lateAt is when what is known gets old.
-func (f *Follower) lateAt() time.Time {
+// staleAt is when what is known gets old.
+func (f *Follower) staleAt() time.Time {
 	if f.relaying {
-		return f.asOf.Add(f.CheckAfter + checkLead)
+		return f.asOf.Add(f.CheckAfter + relayedCheckDelay)
 	}
 	return f.asOf.Add(f.CheckAfter)
 }
 
-func (f *Follower) late(now time.Time) bool {
-	return f.CheckAfter > 0 && !now.Before(f.lateAt())
+func (f *Follower) stale(now time.Time) bool {
+	return f.CheckAfter > 0 && !now.Before(f.staleAt())
 }
 
-// untilDue is how long nothing is to be started.
-func (f *Follower) untilDue() time.Duration {
+// untilNextDue is how long nothing is to be started.
+func (f *Follower) untilNextDue() time.Duration {
 	now := f.now()
 	due := now.Add(time.Hour)
 	earlier := func(t time.Time) {
@@ -176,11 +176,11 @@
 			due = t
 		}
 	}
-	if !f.usual.busy && (f.usualKind(now) == askOthers || !f.late(now)) {
-		earlier(f.usual.next)
+	if !f.regular.busy && (f.regularKind(now) == askPeers || !f.stale(now)) {
+		earlier(f.regular.next)
 	}
 	if f.CheckAfter > 0 {
-		at := f.lateAt()
+		at := f.staleAt()
 		if at.Before(f.checks.next) {
 			at = f.checks.next
 		}
@@ -189,11 +189,11 @@
 	return max(0, due.Sub(now))
 }
 
-// usualKind is whom the next usual call asks. When what is known is old, the checks ask the
+// regularKind is whom the next usual call asks. When what is known is old, the checks ask the
 // store, and the usual call is for others: they may be back while the store is not.
-func (f *Follower) usualKind(now time.Time) callKind {
-	if f.relaying && (!f.usual.toStore || f.late(now)) {
-		return askOthers
+func (f *Follower) regularKind(now time.Time) callKind {
+	if f.relaying && (!f.regular.useStore || f.stale(now)) {
+		return askPeers
 	}
 	return askStore
 }
@@ -201,6 +201,6 @@
 // startDue starts the calls whose time has come.
 func (f *Follower) startDue(ctx context.Context, calls *conc.WaitGroup) {
 	now := f.now()
-	f.startUsual(ctx, calls, now)
+	f.startRegular(ctx, calls, now)
 	f.startCheck(ctx, calls, now)
 }
--- a/internal/store/memstore/memstore.go
+++ b/internal/store/memstore/memstore.go
@@ -45,8 +45,8 @@
 	lastLease store.LeaseID
 	changed   chan struct{} // closed and replaced at each change
 	down      bool
-	fate      func(store.Txn) Outcome
-	late      []store.Txn
+	outcome   func(store.Txn) Outcome
+	delayed   []store.Txn
 	calls     int
 }
 
@@ -63,7 +63,7 @@
 		now = time.Now
 	}
 	return &Store{now: now, revision: 1, items: make(map[string]store.Item), leases: make(map[store.LeaseID]*lease),
-		changed: make(chan struct{}), fate: func(store.Txn) Outcome { return Answered }}
+		changed: make(chan struct{}), outcome: func(store.Txn) Outcome { return Answered }}
 }
 
 // SetDown begins or ends an outage; waiting watches are cut.
@@ -75,19 +75,19 @@
 }
 
 // SetOutcome chooses what becomes of each later transaction.
-func (s *Store) SetOutcome(fate func(store.Txn) Outcome) {
+func (s *Store) SetOutcome(outcome func(store.Txn) Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fate = fate
+	s.outcome = outcome
 }
 
 // ApplyDelayed does the late writes whose conditions still hold, in their order.
 func (s *Store) ApplyDelayed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	late := s.late
-	s.late = nil
-	for _, txn := range late {
+	delayed := s.delayed
+	s.delayed = nil
+	for _, txn := range delayed {
 		if _, err := s.apply(txn); err != nil && !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrLeaseGone) {
 			panic(err) // apply knows no other error
 		}
@@ -120,11 +120,11 @@
 func (s *Store) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.remove(key)
+	s.delete(key)
 }
 
-// begin counts a call and lets leases run out; it fails during an outage.
-func (s *Store) begin() error {
+// startCall counts a call and lets leases run out; it fails during an outage.
+func (s *Store) startCall() error {
 	s.calls++
 	if s.down {
 		return store.ErrUnavailable
@@ -132,7 +132,7 @@
 	now := s.now()
 	for id, l := range s.leases {
 		if now.After(l.expires) {
-			s.end(id)
+			s.revoke(id)
 		}
 	}
 	return nil
@@ -142,7 +142,7 @@
 func (s *Store) Read(_ context.Context, prefix string) (store.Snapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin(); err != nil {
+	if err := s.startCall(); err != nil {
 		return store.Snapshot{}, err
 	}
 	snapshot := store.Snapshot{At: s.revision}
@@ -187,7 +187,7 @@
 func (s *Store) changesSince(prefix string, after store.Revision) (store.Changes, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin(); err != nil {
+	if err := s.startCall(); err != nil {
 		return store.Changes{}, nil, err
 	}
 	if after < s.compacted {
@@ -206,17 +206,17 @@
 func (s *Store) Commit(_ context.Context, txn store.Txn) (store.Result, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin(); err != nil {
+	if err := s.startCall(); err != nil {
 		return store.Result{}, err
 	}
-	switch s.fate(txn) {
+	switch s.outcome(txn) {
 	case ResponseLost:
 		if _, err := s.apply(txn); err != nil {
 			return store.Result{}, store.ErrOutcomeUnknown
 		}
 		return store.Result{}, store.ErrOutcomeUnknown
 	case Delayed:
-		s.late = append(s.late, txn)
+		s.delayed = append(s.delayed, txn)
 		return store.Result{}, store.ErrOutcomeUnknown
 	case Dropped:
 		return store.Result{}, store.ErrOutcomeUnknown
@@ -225,16 +225,16 @@
 }
 
 func (s *Store) apply(txn store.Txn) (store.Result, error) {
-	holds := true
+	satisfied := true
 	result := store.Result{}
-	for _, e := range txn.Conditions {
-		item, found := s.items[e.Key]
+	for _, cond := range txn.Conditions {
+		item, found := s.items[cond.Key]
 		if found {
 			result.Current = append(result.Current, item)
 		}
-		holds = holds && item.Revision == e.Revision
+		satisfied = satisfied && item.Revision == cond.Revision
 	}
-	if !holds {
+	if !satisfied {
 		return result, store.ErrConflict
 	}
 	for _, p := range txn.Puts {
@@ -246,7 +246,7 @@
 		s.write(p)
 	}
 	for _, key := range txn.Deletes {
-		s.remove(key)
+		s.delete(key)
 	}
 	// All writes of one transaction have its revision.
 	for _, p := range txn.Puts {
@@ -266,7 +266,7 @@
 	return s.revision
 }
 
-func (s *Store) remove(key string) {
+func (s *Store) delete(key string) {
 	if _, found := s.items[key]; !found {
 		return
 	}
@@ -285,7 +285,7 @@
 func (s *Store) GrantLease(_ context.Context, ttl time.Duration) (store.LeaseID, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin(); err != nil {
+	if err := s.startCall(); err != nil {
 		return 0, err
 	}
 	s.lastLease++
@@ -297,7 +297,7 @@
 func (s *Store) RenewLease(_ context.Context, id store.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin(); err != nil {
+	if err := s.startCall(); err != nil {
 		return err
 	}
 	l := s.leases[id]
@@ -312,18 +312,18 @@
 func (s *Store) RevokeLease(_ context.Context, id store.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin(); err != nil {
+	if err := s.startCall(); err != nil {
 		return err
 	}
-	s.end(id)
+	s.revoke(id)
 	return nil
 }
 
-func (s *Store) end(id store.LeaseID) {
+func (s *Store) revoke(id store.LeaseID) {
 	delete(s.leases, id)
 	for key, item := range s.items {
 		if item.Lease == id {
-			s.remove(key)
+			s.delete(key)
 		}
 	}
 }
--- a/internal/store/parts.go
+++ b/internal/store/parts.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// partKey is the key of a context's function to call.
-type partKey struct{}
+// progressKey is the key of a context's function to call.
+type progressKey struct{}
 
 // WithProgressFunc returns a context whose calls to a Store report each part of an answer that comes.
 func WithProgressFunc(ctx context.Context, report func()) context.Context {
 	outer := ctx
-	return context.WithValue(ctx, partKey{}, func() {
+	return context.WithValue(ctx, progressKey{}, func() {
 		report()
 		ReportProgress(outer)
 	})
@@ -20,39 +20,39 @@
 
 // ReportProgress is called by a Store's adapter when a part of an answer has come.
 func ReportProgress(ctx context.Context) {
-	if report, wanted := ctx.Value(partKey{}).(func()); wanted {
+	if report, wanted := ctx.Value(progressKey{}).(func()); wanted {
 		report()
 	}
 }
 
 const (
-	// transferMost bounds a call of whose answer parts keep coming.
-	transferMost = 15 * time.Second
-	// partsApart is the longest pause between two parts of an answer that is on its way.
-	partsApart = 250 * time.Millisecond
+	// maxTransferTime bounds a call of whose answer parts keep coming.
+	maxTransferTime = 15 * time.Second
+	// maxPartGap is the longest pause between two parts of an answer that is on its way.
+	maxPartGap = 250 * time.Millisecond
 )
 
-// patiently returns a context that ends once no part of an answer has come for patience. A large
+// withIdleTimeout returns a context that ends once no part of an answer has come for patience. A large
 // answer over a small link takes longer than any silence that a sound path makes.
-func patiently(ctx context.Context, patience time.Duration) (context.Context, context.CancelFunc) {
-	ctx, stop := context.WithTimeout(ctx, transferMost)
-	silent := time.AfterFunc(patience, stop)
-	ctx = WithProgressFunc(ctx, func() { silent.Reset(patience) })
+func withIdleTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithTimeout(ctx, maxTransferTime)
+	idle := time.AfterFunc(timeout, cancel)
+	ctx = WithProgressFunc(ctx, func() { idle.Reset(timeout) })
 	return ctx, func() {
-		silent.Stop()
-		stop()
+		idle.Stop()
+		cancel()
 	}
 }
 
 // transfer is a call to the store whose answer may be on its way.
 type transfer struct {
-	whole bool // everything is asked for, not the changes only
-	stop  context.CancelFunc
-	part  atomic.Pointer[time.Time] // when the last part came; nil: none has
+	full     bool // everything is asked for, not the changes only
+	cancel   context.CancelFunc
+	lastPart atomic.Pointer[time.Time] // when the last part came; nil: none has
 }
 
-// isArriving says whether parts of the answer keep coming.
-func (t *transfer) isArriving(now time.Time) bool {
-	part := t.part.Load()
-	return part != nil && now.Sub(*part) < partsApart
+// arriving says whether parts of the answer keep coming.
+func (t *transfer) arriving(now time.Time) bool {
+	part := t.lastPart.Load()
+	return part != nil && now.Sub(*part) < maxPartGap
 }
--- a/internal/store/probes.go
+++ b/internal/store/probes.go
@@ -14,20 +14,20 @@
 	// answerJitter is by how much an answer may take longer than another one on a sound
 	// path: they differ in length and in work.
 	answerJitter = 500 * time.Millisecond
-	// probesMost bounds the unanswered probes that are kept: those of checkPatience at the
+	// maxProbes bounds the unanswered probes that are kept: those of checkPatience at the
 	// shortest spacing.
-	probesMost = 16
+	maxProbes = 16
 )
 
 // Probe is a call to the store over a connection of its own.
 type Probe struct {
 	started   time.Time
 	connected time.Time // zero: the connection has not come about
-	// gaveUp is when the router gave the call up; zero: not yet. refused: the store ended it.
-	gaveUp  time.Time
-	refused bool
-	// isAnswered: a part of its answer came.
-	isAnswered bool
+	// abandonedAt is when the router gave the call up; zero: not yet. refused: the store ended it.
+	abandonedAt time.Time
+	refused     bool
+	// answered: a part of its answer came.
+	answered bool
 }
 
 // sent is when the packet was sent that made the connection, of a probe that was answered. A
@@ -46,8 +46,8 @@
 
 // waited is how long the router has waited for an answer over the probe's connection.
 func (p *Probe) waited(now time.Time) time.Duration {
-	if !p.gaveUp.IsZero() {
-		return p.gaveUp.Sub(p.connected)
+	if !p.abandonedAt.IsZero() {
+		return p.abandonedAt.Sub(p.connected)
 	}
 	return now.Sub(p.connected)
 }
@@ -67,12 +67,12 @@
 // silent calls prove nothing: one over a connection that was open in an outage waits for its
 // retransmission, also when new connections work again.
 type probes struct {
-	unanswered []*Probe  // oldest first
-	away       time.Time // the last moment at which the store surely could not be reached
+	unanswered      []*Probe  // oldest first
+	lastUnreachable time.Time // the last moment at which the store surely could not be reached
 }
 
 func (p *probes) start(now time.Time) *Probe {
-	if len(p.unanswered) == probesMost {
+	if len(p.unanswered) == maxProbes {
 		p.unanswered = slices.Delete(p.unanswered, 0, 1)
 	}
 	probe := &Probe{started: now}
@@ -80,15 +80,15 @@
 	return probe
 }
 
-// answered takes an answer that came at a moment.
-func (p *probes) answered(probe *Probe, now time.Time) {
+// recordAnswer takes an answer that came at a moment.
+func (p *probes) recordAnswer(answered *Probe, now time.Time) {
 	for _, earlier := range p.unanswered {
-		if earlier.started.After(p.away) && earlier.overtakenBy(probe, now) {
-			p.away = earlier.started
+		if earlier.started.After(p.lastUnreachable) && earlier.overtakenBy(answered, now) {
+			p.lastUnreachable = earlier.started
 		}
 	}
 	p.unanswered = slices.DeleteFunc(p.unanswered, func(other *Probe) bool {
-		return other == probe || !other.started.After(p.away)
+		return other == answered || !other.started.After(p.lastUnreachable)
 	})
 }
 
