--- a/internal/ctl/app.go
+++ b/internal/ctl/app.go
@@ -1,4 +1,4 @@
-// Package ctl is the logic of chicoryctl, the operators' command line.
+// Package ctl implements chicoryctl, the command-line tool for operators.
 package ctl
 
 import (
@@ -25,83 +25,82 @@
 // Exit codes of chicoryctl. They are part of its interface.
 const (
 	ExitOK             = 0
-	ExitFailed         = 1 // anything not listed below
-	ExitUsage          = 2 // wrong command line or unreadable file
+	ExitFailed         = 1 // any error not listed below
+	ExitUsage          = 2 // invalid command line or unreadable file
 	ExitNotFound       = 3
-	ExitConflict       = 4 // another operator's change came first
+	ExitConflict       = 4 // conflict with another operator's change; nothing changed
 	ExitInvalid        = 5 // rejected as invalid; nothing changed
-	ExitOutcomeUnknown = 6 // may have taken effect; repeat it, a top-up with the same --id
-	ExitUnreachable    = 7 // the store didn't answer; nothing changed
+	ExitOutcomeUnknown = 6 // may have taken effect; safe to repeat, a top-up with the same --id
+	ExitUnreachable    = 7 // the store did not answer; nothing changed
 )
 
-// exitHelp documents the exit codes in the program's help.
+// exitHelp describes the exit codes in the help text.
 const exitHelp = `Exit codes: 0 done; 1 failed otherwise; 2 wrong usage; 3 not found; 4 conflict with another change; ` +
 	`5 rejected as invalid; 6 outcome not yet known (repeat it, a top-up with the same --id); 7 the store could not be reached.`
 
-// Streams is what a run reads and writes.
+// Streams are the standard streams of a run.
 type Streams struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
 }
 
-// OpenStoreFunc connects to the store at an IP:port address.
+// OpenStoreFunc returns a client of the store at an IP:port address.
 type OpenStoreFunc func(address string) store.Store
 
-// app holds the flags of one run.
+// app holds the streams and the global flags of a run.
 type app struct {
-	io      Streams
-	open    OpenStoreFunc
-	store   string
-	json    bool
-	timeout time.Duration
+	streams    Streams
+	openStore  OpenStoreFunc
+	storeAddr  string
+	jsonOutput bool
+	timeout    time.Duration
 }
 
-// defaultStore is the address of a store stand-in as chicory-dev starts it.
+// defaultStore is the address at which chicory-dev serves its store by default.
 const defaultStore = "127.0.0.1:8079"
 
-// Run runs one command and gives the exit code. Help and version end the process, as
-// kingpin does.
-func Run(version string, args []string, io Streams, open OpenStoreFunc) int {
-	a := &app{io: io, open: open}
+// Run runs one command and returns the exit code. The help and version flags exit the
+// process, as is usual with kingpin.
+func Run(version string, args []string, streams Streams, openStore OpenStoreFunc) int {
+	a := &app{streams: streams, openStore: openStore}
 	cli := kingpin.New("chicoryctl", "Operates a chicorytiller router fleet through its store. "+exitHelp)
 	cli.Version(version)
-	cli.UsageWriter(io.Err)
-	cli.ErrorWriter(io.Err)
-	cli.Flag("store", "IP:port of the store.").Envar("CHICORY_STORE").Default(defaultStore).StringVar(&a.store)
-	cli.Flag("json", "Print JSON instead of tables.").BoolVar(&a.json)
+	cli.UsageWriter(streams.Err)
+	cli.ErrorWriter(streams.Err)
+	cli.Flag("store", "IP:port of the store.").Envar("CHICORY_STORE").Default(defaultStore).StringVar(&a.storeAddr)
+	cli.Flag("json", "Print JSON instead of tables.").BoolVar(&a.jsonOutput)
 	cli.Flag("timeout", "How long to wait for the store.").Default("5s").DurationVar(&a.timeout)
 	a.configCommands(cli.Command("config", "The operators' document: models, services, contracts."))
 	a.budgetCommands(cli.Command("budget", "Prepaid tokens."))
 	a.backendCommands(cli.Command("backend", "Backend servers."))
 	a.domainCommands(cli.Command("domain", "Failure domains."))
 	router := cli.Command("router", "Routers.")
-	a.command(router.Command("list", "Lists the routers that live."), a.routers)
+	a.setAction(router.Command("list", "Lists the routers that live."), a.listRouters)
 	key := cli.Command("key", "Callers' keys.")
-	a.command(key.Command("new", "Makes a random key. Only its hash goes into a contract; the key is shown once."), a.newKey)
+	a.setAction(key.Command("new", "Makes a random key. Only its hash goes into a contract; the key is shown once."), a.newKey)
 	return a.run(cli, args)
 }
 
-// run parses and acts. An error of the parser is wrong usage; one of a command has its
-// own exit code.
+// run parses the command line, runs the command and returns the exit code.
 func (a *app) run(cli *kingpin.Application, args []string) int {
-	var failed *commandFailed
+	var commandErr *commandError
 	_, err := cli.Parse(args)
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.As(err, &failed):
-		_, _ = fmt.Fprintf(a.io.Err, "chicoryctl: %s\n", failed.cause) // there is nowhere else to tell it
-		return exitCode(failed.cause)
+	case errors.As(err, &commandErr):
+		_, _ = fmt.Fprintf(a.streams.Err, "chicoryctl: %s\n", commandErr.cause) // a failed write cannot be reported anywhere
+		return exitCode(commandErr.cause)
 	}
-	_, _ = fmt.Fprintf(a.io.Err, "chicoryctl: %s, try --help\n", err) // as above
+	_, _ = fmt.Fprintf(a.streams.Err, "chicoryctl: %s, try --help\n", err) // as above
 	return ExitUsage
 }
 
 func exitCode(err error) int {
-	var path *os.PathError
+	var pathErr *os.PathError
 	switch {
-	case errors.As(err, &path):
+	case errors.As(err, &pathErr):
 		return ExitUsage
 	case errors.Is(err, operate.ErrNotFound):
 		return ExitNotFound
@@ -117,29 +116,29 @@
 	return ExitFailed
 }
 
-// commandFailed tells errors of commands from errors of the command line.
-type commandFailed struct{ cause error }
+// commandError distinguishes errors of commands from errors in the command line.
+type commandError struct{ cause error }
 
-func (e *commandFailed) Error() string { return e.cause.Error() }
+func (e *commandError) Error() string { return e.cause.Error() }
 
-// command binds what a command does.
-func (a *app) command(clause *kingpin.CmdClause, do func(context.Context, store.Store) error) {
+// setAction makes clause run action with the store and the time limit of the flags.
+func (a *app) setAction(clause *kingpin.CmdClause, action func(context.Context, store.Store) error) {
 	clause.Action(func(*kingpin.ParseContext) error {
 		ctx, cancel := context.WithTimeout(context.Background(), a.timeout)
 		defer cancel()
-		if err := do(ctx, a.open(a.store)); err != nil {
-			return &commandFailed{cause: err}
+		if err := action(ctx, a.openStore(a.storeAddr)); err != nil {
+			return &commandError{cause: err}
 		}
 		return nil
 	})
 }
 
 func (a *app) configCommands(parent *kingpin.CmdClause) {
-	a.command(parent.Command("show", "Prints the document in force."), a.showConfig)
+	a.setAction(parent.Command("show", "Prints the document in force."), a.showConfig)
 	apply := parent.Command("apply", "Puts a document in the place of the one in force, whole or not at all.")
-	file := apply.Arg("file", "JSON file; - is standard input.").Required().String()
-	a.command(apply, func(ctx context.Context, s store.Store) error {
-		d, err := a.readDocument(*file)
+	applyFile := apply.Arg("file", "JSON file; - is standard input.").Required().String()
+	a.setAction(apply, func(ctx context.Context, s store.Store) error {
+		d, err := a.readDocument(*applyFile)
 		if err != nil {
 			return err
 		}
@@ -149,9 +148,9 @@
 		return a.printf("version %d\n", d.Version)
 	})
 	check := parent.Command("check", "Checks a document and changes nothing.")
-	checked := check.Arg("file", "JSON file; - is standard input.").Required().String()
-	a.command(check, func(context.Context, store.Store) error {
-		if _, err := a.readDocument(*checked); err != nil {
+	checkFile := check.Arg("file", "JSON file; - is standard input.").Required().String()
+	a.setAction(check, func(context.Context, store.Store) error {
+		if _, err := a.readDocument(*checkFile); err != nil {
 			return err
 		}
 		return a.printf("the document is right\n")
@@ -175,11 +174,11 @@
 }
 
 func (a *app) backendCommands(parent *kingpin.CmdClause) {
-	a.command(parent.Command("list", "Lists backend servers by model or service."), a.backends)
+	a.setAction(parent.Command("list", "Lists backend servers by model or service."), a.listBackends)
 	put := parent.Command("put", "Registers a backend server, or changes it.")
-	file := put.Arg("file", "JSON file; - is standard input.").Required().String()
-	a.command(put, func(ctx context.Context, s store.Store) error {
-		data, err := a.readFile(*file)
+	putFile := put.Arg("file", "JSON file; - is standard input.").Required().String()
+	a.setAction(put, func(ctx context.Context, s store.Store) error {
+		data, err := a.readFile(*putFile)
 		if err != nil {
 			return err
 		}
@@ -189,7 +188,7 @@
 		}
 		return operate.Register(ctx, s, b)
 	})
-	for name, does := range map[string]func(context.Context, store.Store, string) error{
+	for name, action := range map[string]func(context.Context, store.Store, string) error{
 		"drain": operate.Drain, "remove": operate.Unregister,
 	} {
 		command := parent.Command(name, map[string]string{
@@ -197,11 +196,11 @@
 			"remove": "Forgets a backend server.",
 		}[name])
 		backend := command.Arg("id", "Its id.").Required().String()
-		a.command(command, func(ctx context.Context, s store.Store) error { return does(ctx, s, *backend) })
+		a.setAction(command, func(ctx context.Context, s store.Store) error { return action(ctx, s, *backend) })
 	}
 }
 
-func (a *app) backends(ctx context.Context, s store.Store) error {
+func (a *app) listBackends(ctx context.Context, s store.Store) error {
 	entries, err := operate.Backends(ctx, s)
 	if err != nil {
 		return err
@@ -213,7 +212,7 @@
 	return a.print(entries, t)
 }
 
-func (a *app) routers(ctx context.Context, s store.Store) error {
+func (a *app) listRouters(ctx context.Context, s store.Store) error {
 	routers, err := operate.Routers(ctx, s)
 	if err != nil {
 		return err
@@ -236,16 +235,16 @@
 	}{plain, hash}, table{{"KEY", "HASH"}, {plain, string(hash)}})
 }
 
-// table is an answer laid out for people; its first row is the head.
+// table is output in human-readable form; its first row is the header.
 type table [][]string
 
-// print writes value as JSON or the table.
+// print writes value as JSON if --json is set, else the table.
 func (a *app) print(value any, t table) error {
-	if a.json {
+	if a.jsonOutput {
 		return a.printJSON(value)
 	}
 	const padding = 2
-	writer := tabwriter.NewWriter(a.io.Out, 0, 0, padding, ' ', 0)
+	writer := tabwriter.NewWriter(a.streams.Out, 0, 0, padding, ' ', 0)
 	for _, row := range t {
 		if _, err := fmt.Fprintln(writer, strings.Join(row, "\t")); err != nil {
 			return errors.Wrap(err, "print")
@@ -255,25 +254,25 @@
 }
 
 func (a *app) printJSON(value any) error {
-	encoder := json.NewEncoder(a.io.Out)
+	encoder := json.NewEncoder(a.streams.Out)
 	encoder.SetIndent("", "  ")
 	return errors.Wrap(encoder.Encode(value), "print")
 }
 
 func (a *app) printf(format string, args ...any) error {
-	_, err := fmt.Fprintf(a.io.Out, format, args...)
+	_, err := fmt.Fprintf(a.streams.Out, format, args...)
 	return errors.Wrap(err, "print")
 }
 
 // readFile reads a file, or standard input when its name is "-".
 func (a *app) readFile(name string) ([]byte, error) {
-	if name == "-" || name == "" { // kingpin gives a lone "-" as ""
-		data, err := io.ReadAll(a.io.In)
+	if name == "-" || name == "" { // kingpin passes a lone "-" as ""
+		data, err := io.ReadAll(a.streams.In)
 		return data, errors.Wrap(err, "read standard input")
 	}
 	return os.ReadFile(name)
 }
 
-func number(n int64) string {
+func formatInt(n int64) string {
 	return strconv.FormatInt(n, 10)
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -18,7 +18,7 @@
 	"chicorytiller.example/chicorytiller/internal/store/memstore"
 )
 
-// operator runs commands against a store in memory.
+// operator runs commands against an in-memory store.
 type operator struct {
 	*qt.C
 	store *memstore.Store
@@ -28,14 +28,15 @@
 	return &operator{C: qt.New(t), store: memstore.New(nil)}
 }
 
-// run gives the exit code and what was printed, errors included.
+// run returns the exit code and the combined standard and error output.
 func (o *operator) run(stdin string, args ...string) (int, string) {
 	var out bytes.Buffer
 	code := Run("test", args, Streams{In: strings.NewReader(stdin), Out: &out, Err: &out}, func(string) store.Store { return o.store })
 	return code, out.String()
 }
 
-func document(change func(*native.Document)) string {
+// documentJSON encodes a valid document to which change was applied.
+func documentJSON(change func(*native.Document)) string {
 	d := &native.Document{
 		Models: []contract.Model{{Name: "m", BytesPerToken: 4, ContextTokens: 100, TokensPerEvent: 1, Attempts: 2}},
 		Contracts: []contract.Contract{{Account: "boatyard", Keys: []contract.KeyHash{contract.HashKey("k")}, Prepaid: 100,
@@ -49,11 +50,11 @@
 	return string(data)
 }
 
-func unchanged(*native.Document) {}
+func noChange(*native.Document) {}
 
-func TestDocumentIsAppliedWholeOrNotAtAll(t *testing.T) {
+func TestInvalidDocumentIsNotApplied(t *testing.T) {
 	o := newOperator(t)
-	code, out := o.run(document(unchanged), "config", "apply", "-")
+	code, out := o.run(documentJSON(noChange), "config", "apply", "-")
 	o.Assert(code, qt.Equals, ExitOK, qt.Commentf(out))
 	for want, change := range map[string]func(*native.Document){
 		`deadline_ms must be`:             func(d *native.Document) { d.Contracts[0].DeadlineMS = 0 },
@@ -67,7 +68,7 @@
 			d.Contracts = append(d.Contracts, c)
 		},
 	} {
-		code, out = o.run(document(change), "config", "apply", "-")
+		code, out = o.run(documentJSON(change), "config", "apply", "-")
 		o.Check(code, qt.Equals, ExitInvalid)
 		o.Check(out, qt.Matches, `(?s).*`+want+`.*`)
 	}
@@ -75,25 +76,26 @@
 	o.Assert(out, qt.Contains, `"version": 1`)
 }
 
-// Guards against a payment that counts twice, or is lost to a document that does not know of it.
-func TestPaymentCountsOnceAndIsNotLost(t *testing.T) {
+// Guards against a repeated payment that counts twice, and against a payment that is lost
+// when an older document without it is applied.
+func TestTopUpIsIdempotentAndNotLost(t *testing.T) {
 	o := newOperator(t)
-	o.run(document(unchanged), "config", "apply", "-")
+	o.run(documentJSON(noChange), "config", "apply", "-")
 	for range 2 {
 		code, out := o.run("", "budget", "topup", "boatyard", "50", "--id", "p1")
 		o.Assert(code, qt.Equals, ExitOK, qt.Commentf(out))
 	}
 	_, out := o.run("", "budget", "list")
 	o.Assert(out, qt.Matches, `(?s).*boatyard +150 .*`)
-	code, _ := o.run(document(unchanged), "config", "apply", "-")
+	code, _ := o.run(documentJSON(noChange), "config", "apply", "-")
 	o.Assert(code, qt.Equals, ExitConflict)
 	code, _ = o.run("", "budget", "topup", "nobody", "50")
 	o.Assert(code, qt.Equals, ExitNotFound)
 }
 
-func TestBudgetOfOneAccountIsShown(t *testing.T) {
+func TestBudgetShow(t *testing.T) {
 	o := newOperator(t)
-	o.run(document(unchanged), "config", "apply", "-")
+	o.run(documentJSON(noChange), "config", "apply", "-")
 	record := escrow.Record{Format: 1, Closed: 30, ClosedSpent: 20, Holders: map[string]map[string]escrow.GrantEntry{"vm-1": {"p1": {Seq: 1, Granted: 40, Spent: 15}}}}
 	o.store.Put("chicory-budget/account/boatyard", record.Encode())
 	code, out := o.run("", "budget", "show", "boatyard")
@@ -106,10 +108,10 @@
 	o.Assert(out, qt.Contains, `"in_doubt": 10`)
 }
 
-func TestBackendsAreRegisteredDrainedAndRemoved(t *testing.T) {
+func TestBackendPutDrainRemove(t *testing.T) {
 	o := newOperator(t)
-	engine := `{"id":"e1","kind":"engine","address":"127.0.0.1:80","failure_domain":"karlin","models":["m","n"]}`
-	code, out := o.run(engine, "backend", "put", "-")
+	backend := `{"id":"e1","kind":"engine","address":"127.0.0.1:80","failure_domain":"karlin","models":["m","n"]}`
+	code, out := o.run(backend, "backend", "put", "-")
 	o.Assert(code, qt.Equals, ExitOK, qt.Commentf(out))
 	code, _ = o.run("", "backend", "drain", "e1")
 	o.Assert(code, qt.Equals, ExitOK)
@@ -124,7 +126,7 @@
 	o.Assert(code, qt.Equals, ExitNotFound)
 }
 
-func TestExitCodesTellWhatHappened(t *testing.T) {
+func TestExitCodes(t *testing.T) {
 	o := newOperator(t)
 	code, _ := o.run("", "budget", "topup")
 	o.Check(code, qt.Equals, ExitUsage)
@@ -135,15 +137,15 @@
 	o.Check(code, qt.Equals, ExitUnreachable)
 	o.store.SetDown(false)
 	o.store.SetOutcome(func(store.Txn) memstore.Outcome { return memstore.ResponseLost })
-	code, _ = o.run(document(unchanged), "config", "apply", "-")
+	code, _ = o.run(documentJSON(noChange), "config", "apply", "-")
 	o.Check(code, qt.Equals, ExitOutcomeUnknown)
 	code, out := o.run("", "key", "new")
 	o.Check(code, qt.Equals, ExitOK)
 	o.Check(out, qt.Contains, "ck_")
 }
 
-// Guards against an order for a misspelled failure domain that looks like success.
-func TestFailureDomainIsEvacuatedAndRestored(t *testing.T) {
+// Guards against reporting success for a misspelled failure domain.
+func TestDomainEvacuateRestore(t *testing.T) {
 	o := newOperator(t)
 	code, _ := o.run("", "domain", "evacuate", "east")
 	o.Assert(code, qt.Equals, ExitNotFound)
--- a/internal/ctl/domain.go
+++ b/internal/ctl/domain.go
@@ -10,7 +10,7 @@
 )
 
 func (a *app) domainCommands(parent *kingpin.CmdClause) {
-	a.command(parent.Command("list", "Lists the evacuated failure domains."), a.evacuated)
+	a.setAction(parent.Command("list", "Lists the evacuated failure domains."), a.listEvacuated)
 	for _, action := range []struct {
 		name, help string
 		do         func(context.Context, store.Store, string) error
@@ -20,11 +20,11 @@
 	} {
 		command := parent.Command(action.name, action.help)
 		domain := command.Arg("domain", "The failure domain's name.").Required().String()
-		a.command(command, func(ctx context.Context, s store.Store) error { return action.do(ctx, s, *domain) })
+		a.setAction(command, func(ctx context.Context, s store.Store) error { return action.do(ctx, s, *domain) })
 	}
 }
 
-func (a *app) evacuated(ctx context.Context, s store.Store) error {
+func (a *app) listEvacuated(ctx context.Context, s store.Store) error {
 	domains, err := operate.EvacuatedDomains(ctx, s)
 	if err != nil {
 		return err
