--- a/cmd/chicory-dev/main.go
+++ b/cmd/chicory-dev/main.go
@@ -1,6 +1,6 @@
-// Command chicory-dev runs a whole small fleet in one process on loopback: three
-// routers, engines, a plain service and the store in memory. It
-// prints the addresses and calls to copy. It ends with 0 on SIGTERM or SIGINT.
+// Command chicory-dev runs a complete small fleet in one process on the loopback
+// interface: routers, stub engines, a stub plain service and an in-memory store. It prints
+// the addresses and example commands. It exits with status 0 on SIGTERM or SIGINT.
 package main
 
 import (
@@ -40,8 +40,8 @@
 }
 
 func run(options dev.Options, logFile string) error {
-	const mode = 0o640
-	log, err := os.OpenFile(logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, mode)
+	const logFileMode = 0o640
+	log, err := os.OpenFile(logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, logFileMode)
 	if err != nil {
 		return err
 	}
--- a/cmd/chicory-edge/main.go
+++ b/cmd/chicory-edge/main.go
@@ -1,4 +1,4 @@
-// Command chicory-edge is the router on each entry VM of the users' platform.
+// Command chicory-edge is the router that runs on each entry VM of the users' platform.
 package main
 
 import (
--- a/cmd/chicory-engine/main.go
+++ b/cmd/chicory-engine/main.go
@@ -1,6 +1,6 @@
-// Command chicory-engine runs one stand-in backend server: a model engine or a
-// plain service. It prints its address on the standard output; on SIGTERM it
-// drains and then stops.
+// Command chicory-engine runs one stub backend server: a model engine or a plain
+// service. It prints its listen address to standard output. On SIGTERM or SIGINT it
+// drains and then exits.
 package main
 
 import (
@@ -23,13 +23,13 @@
 const (
 	kindEngine  = "engine"
 	kindService = "service"
-	// crashStatus is the exit status of a crash that a marked request asked for.
-	crashStatus = 3
-	idlePoll    = 20 * time.Millisecond
+	// crashExitStatus is the exit status after a crash that a marked request triggered.
+	crashExitStatus  = 3
+	idlePollInterval = 20 * time.Millisecond
 )
 
-// server is what both kinds of backend servers offer.
-type server interface {
+// backendServer is the common interface of engines and plain services.
+type backendServer interface {
 	Serve(net.Listener) error
 	Drain()
 	Idle() bool
@@ -37,7 +37,7 @@
 	Close()
 }
 
-// options are the command line.
+// options holds the command-line options.
 type options struct {
 	listen     string
 	kind       string
@@ -48,7 +48,7 @@
 }
 
 func main() {
-	opts := parse(os.Args[1:])
+	opts := parseOptions(os.Args[1:])
 	err := run(opts)
 	if err != nil {
 		slog.Error("backend server stopped", "error", err)
@@ -56,7 +56,7 @@
 	}
 }
 
-func parse(args []string) options {
+func parseOptions(args []string) options {
 	var opts options
 	var crashPoint string
 	app := kingpin.New("chicory-engine", "A stand-in model engine or plain service.")
@@ -85,42 +85,42 @@
 	return opts
 }
 
-// run serves until a signal.
+// run serves requests until SIGTERM or SIGINT, then drains the server.
 func run(opts options) error {
 	if opts.evidence != "" {
 		file, err := os.OpenFile(opts.evidence, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
 			return errors.Wrap(err, "evidence")
 		}
-		defer func() { _ = file.Close() }() // each line is written at once
+		defer func() { _ = file.Close() }() // no data can be lost: lines are written unbuffered
 		opts.engine.Evidence = file
 	}
-	backendServer := newServer(opts)
-	defer backendServer.Close()
+	server := newServer(opts)
+	defer server.Close()
 	listener, err := net.Listen("tcp", opts.listen)
 	if err != nil {
 		return err
 	}
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	served := make(chan error, 1)
+	serveErr := make(chan error, 1)
 	var tasks conc.WaitGroup
 	defer tasks.Wait()
-	tasks.Go(func() { served <- backendServer.Serve(listener) })
+	tasks.Go(func() { serveErr <- server.Serve(listener) })
 	fmt.Println(listener.Addr())
 	select {
-	case err = <-served:
+	case err = <-serveErr:
 		return err
 	case <-signals:
 	}
-	err = drain(backendServer, opts.drainLimit)
-	backendServer.Close()
-	<-served
+	err = drain(server, opts.drainLimit)
+	server.Close()
+	<-serveErr
 	return err
 }
 
-func newServer(opts options) server {
-	crash := func() { os.Exit(crashStatus) }
+func newServer(opts options) backendServer {
+	crash := func() { os.Exit(crashExitStatus) }
 	if opts.kind == kindService {
 		opts.service.OnCrash = crash
 		return enginestub.NewService(opts.service)
@@ -129,12 +129,13 @@
 	return enginestub.New(opts.engine)
 }
 
-// drain waits until nothing runs and all answers are sent, or limit has passed.
-func drain(backendServer server, limit time.Duration) error {
-	backendServer.Drain()
+// drain stops accepting requests and shuts the server down once all requests are answered
+// or limit has passed.
+func drain(server backendServer, limit time.Duration) error {
+	server.Drain()
 	deadline := time.Now().Add(limit)
-	for !backendServer.Idle() && time.Now().Before(deadline) {
-		time.Sleep(idlePoll)
+	for !server.Idle() && time.Now().Before(deadline) {
+		time.Sleep(idlePollInterval)
 	}
-	return backendServer.Shutdown(max(time.Until(deadline), idlePoll))
+	return server.Shutdown(max(time.Until(deadline), idlePollInterval))
 }
--- a/cmd/chicory-load/main.go
+++ b/cmd/chicory-load/main.go
@@ -1,7 +1,7 @@
-// Command chicory-load is a load client: it calls a fleet of routers as real
-// callers do, checks every answer byte for byte, and prints latencies, refusals
-// and whatever contradicts the fleet's promises. It ends with 0 when nothing
-// does, with 1 when something does, and with 2 when it could not run.
+// Command chicory-load is a load generator. It calls a fleet of routers as real callers
+// do, checks every answer byte for byte, and reports latencies, refusals and violations of
+// the fleet's guarantees. Its exit status is 0 if there were no violations, 1 if there
+// were some, and 2 if the run failed.
 package main
 
 import (
@@ -12,9 +12,9 @@
 	"syscall"
 )
 
-// Exit codes.
+// Exit statuses.
 const (
-	exitBroken = 1
+	exitFaults = 1
 	exitFailed = 2
 )
 
@@ -22,13 +22,13 @@
 	opts := parseOptions(os.Args[1:])
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	broken, err := run(ctx, opts, os.Stdout)
+	faults, err := run(ctx, opts, os.Stdout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "chicory-load:", err)
 		os.Exit(exitFailed)
 	}
-	if broken > 0 {
-		fmt.Fprintf(os.Stderr, "chicory-load: %d faults\n", broken)
-		os.Exit(exitBroken)
+	if faults > 0 {
+		fmt.Fprintf(os.Stderr, "chicory-load: %d faults\n", faults)
+		os.Exit(exitFaults)
 	}
 }
--- a/cmd/chicory-load/options.go
+++ b/cmd/chicory-load/options.go
@@ -11,7 +11,7 @@
 	"chicorytiller.example/chicorytiller/internal/version"
 )
 
-// options are the command line's values.
+// options holds the command-line options.
 type options struct {
 	routers []string
 	direct  string
@@ -97,7 +97,7 @@
 	app.Flag("report", "Write the JSON report to this file as well").StringVar(&o.report)
 }
 
-// tokenRange is N or MIN-MAX tokens. It implements kingpin.Value.
+// tokenRange is a number of tokens, N, or a range, MIN-MAX. It implements kingpin.Value.
 type tokenRange struct {
 	min, max int
 }
--- a/cmd/chicory-load/run.go
+++ b/cmd/chicory-load/run.go
@@ -16,16 +16,15 @@
 	"chicorytiller.example/chicorytiller/platform"
 )
 
-// reportMode is the file mode of a report.
-const reportMode = 0o644
+const reportFileMode = 0o644
 
-// run makes the run and writes its report. It returns the number of faults.
+// run generates the load and writes the report. It returns the number of faults found.
 func run(ctx context.Context, o *options, stdout io.Writer) (int, error) {
 	if len(o.keys) == 0 && len(o.routers) == 0 {
-		o.keys = []string{"direct"} // an engine called directly asks for no key
+		o.keys = []string{"direct"} // placeholder: engines require no key
 	}
 	client := load.NewClient(o.keys)
-	targets, err := targetsOf(o, client)
+	targets, err := newTargets(o, client)
 	if err != nil {
 		return 0, err
 	}
@@ -38,22 +37,22 @@
 	if err != nil {
 		return 0, err
 	}
-	sources, err := sourcesOf(o, client)
+	sources, err := newSources(o, client)
 	if err != nil {
 		return 0, err
 	}
-	finished := runner.Run(ctx)
-	report := finished.Report()
-	if report.Reconciliation, err = reconcile(client, sources, finished); err != nil {
+	result := runner.Run(ctx)
+	report := result.Report()
+	if report.Reconciliation, err = reconcile(client, sources, result); err != nil {
 		return 0, err
 	}
-	return report.Broken(), write(o, report, stdout)
+	return report.Broken(), writeReport(o, report, stdout)
 }
 
 func workloadConfig(o *options) load.WorkloadConfig {
 	return load.WorkloadConfig{
 		Seed:         o.seed,
-		RunID:        uuid.NewString(), // fresh, so that a second run's keys are new requests
+		RunID:        uuid.NewString(), // new for each run, so that idempotency keys are not reused
 		Accounts:     len(o.keys),
 		Model:        o.model,
 		PromptBytes:  o.promptBytes,
@@ -66,18 +65,19 @@
 	}
 }
 
-// targetsOf gives the routers first, so that pairs tell what they add.
-func targetsOf(o *options, client *load.Client) ([]load.Target, error) {
+// newTargets returns the targets of the load. The routers come first, so that the paired
+// differences, first target minus second, are the latency that the routers add.
+func newTargets(o *options, client *load.Client) ([]load.Target, error) {
 	var targets []load.Target
 	if len(o.routers) > 0 && (o.paired || o.direct == "") {
-		targets = append(targets, load.Target{Name: "routers", Caller: routersCaller(o, client)})
+		targets = append(targets, load.Target{Name: "routers", Caller: newRouterCaller(o, client)})
 	}
 	if o.direct != "" {
-		targets = append(targets, load.Target{Name: "direct", Caller: directCaller(o, client)})
+		targets = append(targets, load.Target{Name: "direct", Caller: newDirectCaller(o, client)})
 	}
 	switch {
 	case len(targets) == 0:
-		return nil, errors.New("give --router or --direct")
+		return nil, errors.New("--router or --direct is required")
 	case o.paired && len(targets) != 2:
 		return nil, errors.New("--paired needs --router and --direct")
 	case o.direct != "" && o.serviceShare > 0:
@@ -86,7 +86,7 @@
 	return targets, nil
 }
 
-func policy(o *options) load.RetryPolicy {
+func retryPolicy(o *options) load.RetryPolicy {
 	return load.RetryPolicy{
 		Deadline:      o.deadline,
 		TryTimeout:    o.tryTimeout,
@@ -97,57 +97,60 @@
 	}
 }
 
-func routersCaller(o *options, client *load.Client) *load.Caller {
+func newRouterCaller(o *options, client *load.Client) *load.Caller {
 	var directories []*load.Directory
 	for account := range o.keys {
 		directories = append(directories, load.NewDirectory(o.routers, client.FetchEntry(account), time.Now))
 	}
-	return load.NewCaller(client, directories, policy(o), nil)
+	return load.NewCaller(client, directories, retryPolicy(o), nil)
 }
 
-// directCaller calls one engine: its directory never asks a router.
-func directCaller(o *options, client *load.Client) *load.Caller {
-	fixed := func(string) (load.EntryAnswer, error) {
+// newDirectCaller returns a caller that bypasses the routers: its directories always
+// return the address of one engine.
+func newDirectCaller(o *options, client *load.Client) *load.Caller {
+	fetch := func(string) (load.EntryAnswer, error) {
 		return load.EntryAnswer{Addresses: []string{o.direct}, TTL: time.Hour}, nil
 	}
-	directory := load.NewDirectory([]string{o.direct}, fixed, time.Now)
+	directory := load.NewDirectory([]string{o.direct}, fetch, time.Now)
 	directories := make([]*load.Directory, len(o.keys))
 	for i := range directories {
 		directories[i] = directory
 	}
-	return load.NewCaller(client, directories, policy(o), nil)
+	return load.NewCaller(client, directories, retryPolicy(o), nil)
 }
 
-// sourcesOf names the evidence to read, less what engines ran before this run.
-func sourcesOf(o *options, client *load.Client) (load.Sources, error) {
+// newSources returns the sources against which answers are checked. It records the runs
+// that the engines report already, so that they are not attributed to this run.
+func newSources(o *options, client *load.Client) (load.Sources, error) {
 	sources := load.Sources{
 		Engines:  splitList(o.engines),
 		Services: splitList(o.services),
 	}
 	if o.store != "" {
-		sources.Budgets = func() ([]load.Budget, error) { return budgetsOf(o.store) }
+		sources.Budgets = func() ([]load.Budget, error) { return readBudgets(o.store) }
 	}
 	var err error
 	sources.EarlierRuns, err = client.EngineRuns(sources.Engines)
 	return sources, err
 }
 
-// storeTimeout bounds the reading of the budgets.
+// storeTimeout limits the read of the budgets from the store.
 const storeTimeout = 5 * time.Second
 
-func budgetsOf(address string) ([]load.Budget, error) {
+func readBudgets(address string) ([]load.Budget, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	known, err := operate.Budgets(ctx, platform.NewStore(address))
-	budgets := make([]load.Budget, 0, len(known))
-	for _, b := range known {
+	stored, err := operate.Budgets(ctx, platform.NewStore(address))
+	budgets := make([]load.Budget, 0, len(stored))
+	for _, b := range stored {
 		budgets = append(budgets, load.Budget{Account: b.Account, Prepaid: b.Prepaid, Granted: b.Granted})
 	}
 	return budgets, err
 }
 
-// reconcile holds what was answered against the evidence.
-func reconcile(client *load.Client, sources load.Sources, finished *load.Run) (*load.Reconciliation, error) {
+// reconcile checks the outcomes against the evidence from sources. It returns nil if there
+// are no sources.
+func reconcile(client *load.Client, sources load.Sources, result *load.Run) (*load.Reconciliation, error) {
 	if sources.Empty() {
 		return nil, nil
 	}
@@ -155,20 +158,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return load.Reconcile(finished.Outcomes(), finished.Direct(), evidence), nil
+	return load.Reconcile(result.Outcomes(), result.Direct(), evidence), nil
 }
 
 func splitList(text string) []string {
 	return strings.FieldsFunc(text, func(r rune) bool { return r == ',' || r == ' ' })
 }
 
-func write(o *options, report *load.Report, stdout io.Writer) error {
+func writeReport(o *options, report *load.Report, stdout io.Writer) error {
 	data, err := report.JSON()
 	if err != nil {
 		return err
 	}
 	if o.report != "" {
-		if err := os.WriteFile(o.report, data, reportMode); err != nil {
+		if err := os.WriteFile(o.report, data, reportFileMode); err != nil {
 			return errors.WithStack(err)
 		}
 	}
--- a/cmd/chicory-load/run_test.go
+++ b/cmd/chicory-load/run_test.go
@@ -14,7 +14,7 @@
 	"chicorytiller.example/chicorytiller/internal/load"
 )
 
-func TestRunAgainstAnEngine(t *testing.T) {
+func TestRunAgainstEngine(t *testing.T) {
 	c := qt.New(t)
 	engine := enginestub.New(enginestub.Config{})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,9 +30,9 @@
 		"--direct", address, "--engines", address, "--requests", "40", "--output-tokens", "5-20", "--output", "json",
 	})
 	var out bytes.Buffer
-	broken, err := run(context.Background(), o, &out)
+	faults, err := run(context.Background(), o, &out)
 	c.Assert(err, qt.IsNil)
-	c.Assert(broken, qt.Equals, 0)
+	c.Assert(faults, qt.Equals, 0)
 	var report load.Report
 	c.Assert(json.Unmarshal(out.Bytes(), &report), qt.IsNil)
 	c.Assert(report.Targets[0].Statuses, qt.DeepEquals, map[load.Status]int{load.StatusOK: 40})
@@ -40,12 +40,12 @@
 	c.Assert(report.Reconciliation.CheckedAgainst, qt.DeepEquals, []string{"engines (40)"})
 }
 
-func TestBadOptionsAreRefused(t *testing.T) {
+func TestInvalidOptionsAreRejected(t *testing.T) {
 	c := qt.New(t)
 	for _, args := range [][]string{
 		{},
 		{"--direct", "127.0.0.1:1"}, // neither requests nor duration
-		{"--direct", "127.0.0.1:1", "--paired", "--requests", "1"},               // paired with nothing
+		{"--direct", "127.0.0.1:1", "--paired", "--requests", "1"},               // --paired without --router
 		{"--router", "127.0.0.1:1", "--requests", "1"},                           // no key
 		{"--direct", "127.0.0.1:1", "--requests", "1", "--output-tokens", "9-2"}, // empty range
 		{"--router", "127.0.0.1:1", "--key", "k", "--requests", "1", "--service-share", "0.5"},
--- a/cmd/chicory-platform/main.go
+++ b/cmd/chicory-platform/main.go
@@ -1,5 +1,5 @@
-// Command chicory-platform stands in for the platform's store: the same calls, kept in
-// memory, with outages on demand.
+// Command chicory-platform is a stub of the platform's store. It serves the same API from
+// memory and simulates outages, compactions and lost responses on demand.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	"chicorytiller.example/chicorytiller/platform"
 )
 
-// headerTimeout bounds callers that send nothing.
+// headerTimeout limits how long a connection may take to send a request header.
 const headerTimeout = 10 * time.Second
 
 func main() {
@@ -28,24 +28,24 @@
 	listen := app.Flag("listen", "IP:port to listen on; it is printed.").Default("127.0.0.1:0").String()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if err := run(*listen); err != nil {
-		slog.Error("chicory-platform stops", "error", err)
+		slog.Error("chicory-platform failed", "error", err)
 		os.Exit(1)
 	}
 }
 
-// lostShare is the part of the writes whose answers are lost on demand.
-const lostShare = 0.4
+// lostResponseShare is the share of writes that loseSomeResponses leaves unanswered.
+const lostResponseShare = 0.4
 
-// someLost loses the answers of some writes: a third of these are done, a third are
-// done later, a third never.
-func someLost(store.Txn) memstore.Outcome {
-	if rand.Float64() >= lostShare {
+// loseSomeResponses leaves some writes unanswered. Of these, a third are applied at once, a
+// third are applied later, and a third are dropped.
+func loseSomeResponses(store.Txn) memstore.Outcome {
+	if rand.Float64() >= lostResponseShare {
 		return memstore.Answered
 	}
 	return []memstore.Outcome{memstore.ResponseLost, memstore.Delayed, memstore.Dropped}[rand.IntN(3)]
 }
 
-func allAnswered(store.Txn) memstore.Outcome {
+func answerAll(store.Txn) memstore.Outcome {
 	return memstore.Answered
 }
 
@@ -55,16 +55,16 @@
 		return err
 	}
 	fmt.Println(listener.Addr())
-	kept := memstore.New(nil)
+	memStore := memstore.New(nil)
 	mux := http.NewServeMux()
-	mux.Handle("/", platform.StoreHandler(kept))
-	mux.HandleFunc("POST /stand-in/down", func(http.ResponseWriter, *http.Request) { kept.SetDown(true) })
-	mux.HandleFunc("POST /stand-in/up", func(http.ResponseWriter, *http.Request) { kept.SetDown(false) })
-	mux.HandleFunc("POST /stand-in/compact", func(http.ResponseWriter, *http.Request) { kept.Compact() })
-	mux.HandleFunc("POST /stand-in/lose", func(http.ResponseWriter, *http.Request) { kept.SetOutcome(someLost) })
+	mux.Handle("/", platform.StoreHandler(memStore))
+	mux.HandleFunc("POST /stand-in/down", func(http.ResponseWriter, *http.Request) { memStore.SetDown(true) })
+	mux.HandleFunc("POST /stand-in/up", func(http.ResponseWriter, *http.Request) { memStore.SetDown(false) })
+	mux.HandleFunc("POST /stand-in/compact", func(http.ResponseWriter, *http.Request) { memStore.Compact() })
+	mux.HandleFunc("POST /stand-in/lose", func(http.ResponseWriter, *http.Request) { memStore.SetOutcome(loseSomeResponses) })
 	mux.HandleFunc("POST /stand-in/answer", func(http.ResponseWriter, *http.Request) {
-		kept.SetOutcome(allAnswered)
-		kept.ApplyDelayed()
+		memStore.SetOutcome(answerAll)
+		memStore.ApplyDelayed()
 	})
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 	return server.Serve(listener)
--- a/cmd/chicory-router/main.go
+++ b/cmd/chicory-router/main.go
@@ -1,5 +1,5 @@
-// Command chicory-router is the router with the product's own interface: OpenAI's chat
-// completions and plain services.
+// Command chicory-router is the router with the native interface: OpenAI-compatible chat
+// completions, and plain services.
 package main
 
 import (
--- a/cmd/chicory-soak/main.go
+++ b/cmd/chicory-soak/main.go
@@ -1,5 +1,5 @@
-// Command chicory-soak plays random faults on the real programs, one seed after the
-// other, and ends with 1 if a promise was broken.
+// Command chicory-soak injects random faults into a fleet of the real programs, one seed
+// after the other. Its exit status is 1 if a guarantee was violated.
 package main
 
 import (
@@ -31,40 +31,41 @@
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	os.Exit(playAll(ctx, o, *seeds, *dir))
+	os.Exit(runSeeds(ctx, o, *seeds, *dir))
 }
 
-// playAll plays the seeds and returns the exit status.
-func playAll(ctx context.Context, o soak.Options, seeds int, dir string) int {
-	status := 0
-	for last := o.Seed + uint64(seeds); o.Seed < last && ctx.Err() == nil; o.Seed++ {
-		if !play(ctx, o, dir) {
-			status = 1
+// runSeeds runs the seeds in order and returns the exit status.
+func runSeeds(ctx context.Context, o soak.Options, seeds int, dir string) int {
+	exitStatus := 0
+	for end := o.Seed + uint64(seeds); o.Seed < end && ctx.Err() == nil; o.Seed++ {
+		if !runSeed(ctx, o, dir) {
+			exitStatus = 1
 		}
 	}
-	return status
+	return exitStatus
 }
 
-// play plays one seed and says whether all promises were kept.
-func play(ctx context.Context, o soak.Options, dir string) bool {
+// runSeed runs one seed and reports whether all guarantees held. It deletes the seed's
+// directory if they did.
+func runSeed(ctx context.Context, o soak.Options, dir string) bool {
 	o.Dir = filepath.Join(dir, fmt.Sprintf("soak-%d-%d", os.Getpid(), o.Seed))
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		fmt.Println(err)
 		return false
 	}
 	fmt.Printf("seed %d\n", o.Seed)
-	broken, err := soak.Run(ctx, o)
+	violations, err := soak.Run(ctx, o)
 	if err != nil {
-		broken = append(broken, err.Error())
+		violations = append(violations, err.Error())
 	}
-	for _, one := range broken {
-		fmt.Println("BROKEN:", one)
+	for _, violation := range violations {
+		fmt.Println("BROKEN:", violation)
 	}
-	if len(broken) > 0 {
+	if len(violations) > 0 {
 		fmt.Println("logs:", o.Dir)
 		return false
 	}
-	_ = os.RemoveAll(o.Dir) // only logs of what went well
+	_ = os.RemoveAll(o.Dir) // logs of a passed seed are not needed
 	fmt.Printf("seed %d kept all promises\n", o.Seed)
 	return true
 }
--- a/cmd/chicory-timeline/main.go
+++ b/cmd/chicory-timeline/main.go
@@ -1,6 +1,7 @@
-// Command chicory-timeline merges the event logs of many processes into one time
-// line in causal order and filters it, or sums it up by route or client account. It ends with 0, or with 1 when a log
-// can't be read; damaged lines are counted on standard error and passed over.
+// Command chicory-timeline merges the event logs of many processes into one timeline in
+// causal order. It filters the timeline, or summarizes it by route or client account. Its
+// exit status is 1 if a log cannot be read. Damaged lines are skipped, and their number is
+// printed to standard error.
 package main
 
 import (
@@ -22,7 +23,7 @@
 	"chicorytiller.example/chicorytiller/internal/version"
 )
 
-// options are the command line's values.
+// options holds the command-line options.
 type options struct {
 	logs   []string
 	filter timeline.Filter
@@ -32,7 +33,7 @@
 	output string
 }
 
-// writers are the ways to write lines, by the value of --output.
+// writers are the output formats by the value of --output.
 var writers = map[string]func(io.Writer, []timeline.Line) error{
 	"table": timeline.WriteTable, "json": timeline.WriteJSON, "requests": timeline.WriteRequests, "budgets": timeline.WriteBudgets,
 }
@@ -69,7 +70,7 @@
 }
 
 func (o *options) parseFilter() (err error) {
-	if o.filter.Events, err = parseNumbers(o.events); err != nil {
+	if o.filter.Events, err = parseEventNumbers(o.events); err != nil {
 		return err
 	}
 	if o.filter.Since, err = parseTime("--since", o.since); err != nil {
@@ -79,12 +80,12 @@
 	return err
 }
 
-func parseNumbers(text string) ([]event.Number, error) {
+func parseEventNumbers(text string) ([]event.Number, error) {
 	var numbers []event.Number
 	for _, field := range strings.FieldsFunc(text, func(r rune) bool { return r == ',' }) {
 		number, err := strconv.Atoi(strings.TrimSpace(field))
 		if err != nil {
-			return nil, errors.Errorf("--event: %q is no number", field)
+			return nil, errors.Errorf("--event: %q is not a number", field)
 		}
 		numbers = append(numbers, event.Number(number))
 	}
@@ -95,11 +96,11 @@
 	if text == "" {
 		return time.Time{}, nil
 	}
-	parsed, err := time.Parse(time.RFC3339Nano, text)
+	t, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		return time.Time{}, errors.Errorf("%s: %q is not like 2026-01-31T13:45:00Z", flag, text)
+		return time.Time{}, errors.Errorf("%s: %q is not an RFC 3339 time such as 2026-01-31T13:45:00Z", flag, text)
 	}
-	return parsed, nil
+	return t, nil
 }
 
 func run(o *options, stdin io.Reader, stdout, stderr io.Writer) error {
--- a/cmd/chicory-timeline/main_test.go
+++ b/cmd/chicory-timeline/main_test.go
@@ -13,7 +13,7 @@
 	"chicorytiller.example/chicorytiller/internal/event"
 )
 
-func TestMergesFilesAndFilters(t *testing.T) {
+func TestRunMergesAndFiltersFiles(t *testing.T) {
 	c := qt.New(t)
 	var first, second bytes.Buffer
 	a := event.New(&first, "a@1", slog.LevelDebug, nil)
@@ -36,7 +36,7 @@
 	c.Assert(stderr.String(), qt.Equals, "chicory-timeline: 1 damaged lines passed over\n")
 }
 
-func TestStandardInputIsReadWithoutFiles(t *testing.T) {
+func TestRunReadsStandardInputWithoutFiles(t *testing.T) {
 	c := qt.New(t)
 	var log, stdout, stderr bytes.Buffer
 	event.New(&log, "a@1", slog.LevelDebug, nil).Emit(event.ProcessReady)
@@ -47,7 +47,7 @@
 	c.Assert(stderr.String(), qt.Equals, "")
 }
 
-func TestBadFiltersAreRefused(t *testing.T) {
+func TestInvalidFiltersAreRejected(t *testing.T) {
 	c := qt.New(t)
 	for _, args := range [][]string{{"--event", "x"}, {"--since", "noon"}, {"--until", "1"}} {
 		_, err := parseOptions(args)
--- a/cmd/chicoryctl/main.go
+++ b/cmd/chicoryctl/main.go
@@ -1,5 +1,6 @@
-// Command chicoryctl operates a router fleet through its store: the operators'
-// document, top-ups, backend servers, routers. Its help lists the exit codes.
+// Command chicoryctl operates a router fleet through its store. It manages the
+// configuration document, budgets, backend servers and failure domains, and lists routers.
+// Its help text lists the exit codes.
 package main
 
 import (
