--- a/cmd/chicory-timeline/main.go
+++ b/cmd/chicory-timeline/main.go
@@ -116,8 +116,8 @@
 		}
 	}
 	lines := o.filter.Apply(timeline.Merge(log.Lines))
-	if log.Damaged > 0 {
-		fmt.Fprintf(stderr, "chicory-timeline: %d damaged lines passed over\n", log.Damaged)
+	if log.MalformedLines > 0 {
+		fmt.Fprintf(stderr, "chicory-timeline: %d damaged lines passed over\n", log.MalformedLines)
 	}
 	buffered := bufio.NewWriter(stdout)
 	if err := writers[o.output](buffered, lines); err != nil {
--- a/internal/escrow/draw.go
+++ b/internal/escrow/draw.go
@@ -213,7 +213,7 @@
 		for _, g := range d.grants {
 			g.recordKnown = false
 		}
-		m.opts.Log.Emit(event.DrawUnknown, slog.Int("accounts", len(d.grants)), slog.Any(event.KeyCause, err))
+		m.opts.Log.Emit(event.DrawOutcomeUnknown, slog.Int("accounts", len(d.grants)), slog.Any(event.KeyCause, err))
 	}
 	return err == nil
 }
@@ -237,7 +237,7 @@
 	}
 	for i, g := range d.grants {
 		g.applyRecord(d.records[i], int64(result.Revision), d.entries[i])
-		m.opts.Log.Emit(event.DrawLanded, slog.String(event.KeyBudget, g.account), slog.Int64("granted", g.granted),
+		m.opts.Log.Emit(event.DrawCommitted, slog.String(event.KeyBudget, g.account), slog.Int64("granted", g.granted),
 			slog.Int64("spent", g.spent), slog.Int64("reserved", g.reserved), slog.Int64("revision", g.revision))
 	}
 }
--- a/internal/escrow/holders.go
+++ b/internal/escrow/holders.go
@@ -245,7 +245,7 @@
 	if !g.shortageLog.due(m.opts.Clock().Steady) {
 		return
 	}
-	m.opts.Log.Emit(event.BudgetShort, slog.String(event.KeyBudget, g.account), slog.Int64("prepaid", prepaid),
+	m.opts.Log.Emit(event.BudgetShortage, slog.String(event.KeyBudget, g.account), slog.Int64("prepaid", prepaid),
 		slog.Int64("given", g.record.TotalGranted()), slog.Int64("closed", g.record.Closed),
 		slog.Int64("closed_spent", g.record.ClosedSpent), slog.Int64("used", used), slog.Int64("left", left),
 		slog.Int64("revision", g.revision), slog.Any(event.KeyCause, cause), slog.Int("unlogged", g.shortageLog.takeSuppressed()))
--- a/internal/escrow/lend.go
+++ b/internal/escrow/lend.go
@@ -70,7 +70,7 @@
 	if err == nil {
 		return NoShortage
 	}
-	m.opts.Log.Emit(event.LoanShort, slog.String(event.KeyBudget, r.grant.account), slog.Int64("missing", r.missing), slog.Any(event.KeyCause, err))
+	m.opts.Log.Emit(event.LoanShortfall, slog.String(event.KeyBudget, r.grant.account), slog.Int64("missing", r.missing), slog.Any(event.KeyCause, err))
 	short := shortageOf(err)
 	if short == StoreUnreachable && !m.isStoreDown() {
 		return DrawPending
--- a/internal/event/catalogue.go
+++ b/internal/event/catalogue.go
@@ -2,14 +2,14 @@
 
 import "log/slog"
 
-// Kind describes one numbered event, for the code and for docs/EVENTS.md.
+// Kind describes one kind of event. docs/EVENTS.md lists the same kinds.
 type Kind struct {
 	Number Number
 	Level  slog.Level
 	Text   string
 }
 
-// Events of a process. Numbers of retired events are listed in docs/EVENTS.md.
+// Process events. docs/EVENTS.md also lists the numbers of removed events.
 const (
 	ProcessStarted Number = 100
 	ProcessReady   Number = 101
@@ -19,69 +19,73 @@
 	ListenerFailed Number = 106
 )
 
-// Events of a request.
+// Request events.
 const (
 	RequestRefused     Number = 201
 	AttemptFailed      Number = 203
 	RequestAbandoned   Number = 206
 	RequestReplayed    Number = 207
 	RequestServed      Number = 208
-	RequestCut         Number = 210
+	ResponseAborted    Number = 210
 	RequestQuarantined Number = 209
-	// ClaimOpen: the end of a request is missing in its claim of an idempotency key.
-	ClaimOpen Number = 211
+	// ClaimLeftOpen: the outcome of a request could not be stored in the claim of its
+	// idempotency key.
+	ClaimLeftOpen Number = 211
 )
 
-// Events of budgets.
+// Budget events.
 const (
-	DrawLanded       Number = 301
-	DrawFailed       Number = 302
-	DrawUnknown      Number = 305
-	GrantsReturned   Number = 306
-	TokensBorrowed   Number = 307
-	TokensHandedOver Number = 308
-	LoanShort        Number = 309
-	// GrantClosed: what a dead router can have spent of a grant is settled; the rest is free.
+	DrawCommitted      Number = 301
+	DrawFailed         Number = 302
+	DrawOutcomeUnknown Number = 305
+	GrantsReturned     Number = 306
+	TokensBorrowed     Number = 307
+	TokensHandedOver   Number = 308
+	LoanShortfall      Number = 309
+	// GrantClosed: an upper bound of a dead router's spending was counted as spent, and the
+	// rest of its grant was released.
 	GrantClosed Number = 310
-	// BudgetShort: a router that holds an account's grant for all has no more to give.
-	BudgetShort Number = 311
-	// TokensGathered: a router that holds an account's grant for all asked another one for
-	// what the record leaves that one.
+	// BudgetShortage: a router that holds an account's grant on behalf of all routers has no
+	// tokens left to lend.
+	BudgetShortage Number = 311
+	// TokensGathered: a router that holds an account's grant on behalf of all routers asked
+	// another router for the tokens that are still granted to it in the record.
 	TokensGathered Number = 312
 )
 
-// Events of the configuration.
+// Configuration events.
 const (
-	ConfigInForce  Number = 501
+	ConfigApplied  Number = 501
 	ConfigRejected Number = 503
-	// SettingsReloaded: the settings file changed and the new settings are in force.
+	// SettingsReloaded: the settings file was read again and the new settings apply.
 	SettingsReloaded Number = 504
 	SettingsRejected Number = 505
 )
 
-// Events of membership.
+// Membership events.
 const (
 	PeerJoined Number = 600
 	PeerLeft   Number = 603
 )
 
-// Events of backend servers and of the store.
+// Backend server and store events.
 const (
 	BackendFound Number = 705
-	// DomainEvacuated: operators ordered that a failure domain's backend servers get
-	// nothing new; DomainRestored: the order was taken back.
+	// DomainEvacuated: an operator ordered that the backend servers of a failure domain get
+	// no new requests; DomainRestored: the order was withdrawn.
 	DomainEvacuated Number = 706
 	DomainRestored  Number = 707
-	// BackendCold: a backend server that was warm says that it bears few requests for now.
+	// BackendCold: a backend server that was warm reports that it can handle only few
+	// requests for now.
 	BackendCold Number = 708
-	// BackendLimited: a backend server names a limit of requests a second, or another one than
-	// before; BackendUnlimited: the limit is over.
+	// BackendLimited: a backend server set or changed its limit of requests per second;
+	// BackendUnlimited: the limit no longer applies.
 	BackendLimited   Number = 719
 	BackendUnlimited Number = 720
-	// LimitRecorded: the other routers are told of a backend server's limit, or of its end;
-	// LimitUnrecorded: they could not be told yet.
+	// LimitRecorded: a backend server's limit, or its end, was stored for the other routers;
+	// LimitNotRecorded: it could not be stored yet.
 	LimitRecorded    Number = 721
-	LimitUnrecorded  Number = 722
+	LimitNotRecorded Number = 722
 	BackendLeaving   Number = 702
 	EntryRejected    Number = 703
 	StoreUnreachable Number = 710
@@ -91,16 +95,16 @@
 	Bootstrapped     Number = 714
 	SourceChanged    Number = 715
 	StoreCalls       Number = 716
-	// BackendMissing: an entry is missing after a silence of the store.
+	// BackendMissing: the entry of a backend server is missing after a store outage.
 	BackendMissing Number = 717
-	// KnowledgeOld: the call that should have confirmed what is known is overdue.
-	KnowledgeOld Number = 718
+	// DataStale: the call that should have confirmed the data read from the store is overdue.
+	DataStale Number = 718
 )
 
-// InvariantBroken: a safeguard that must always hold was found broken.
+// InvariantBroken: a condition that must always hold does not hold.
 const InvariantBroken Number = 900
 
-// Catalogue lists every kind of event in the order of the numbers.
+// Catalogue lists all kinds of events, in the order of docs/EVENTS.md.
 var Catalogue = []Kind{
 	{ProcessStarted, slog.LevelInfo, "process started"},
 	{ProcessReady, slog.LevelInfo, "process ready"},
@@ -113,20 +117,20 @@
 	{RequestAbandoned, slog.LevelInfo, "request abandoned by its caller"},
 	{RequestReplayed, slog.LevelInfo, "request answered from an earlier run"},
 	{RequestServed, slog.LevelInfo, "request answered"},
-	{RequestCut, slog.LevelWarn, "answer cut off"},
+	{ResponseAborted, slog.LevelWarn, "answer cut off"},
 	{RequestQuarantined, slog.LevelWarn, "request refused: it broke the backend servers that ran it"},
-	{ClaimOpen, slog.LevelWarn, "claim of an idempotency key left open"},
-	{DrawLanded, slog.LevelDebug, "draw landed"},
+	{ClaimLeftOpen, slog.LevelWarn, "claim of an idempotency key left open"},
+	{DrawCommitted, slog.LevelDebug, "draw landed"},
 	{DrawFailed, slog.LevelWarn, "draw failed"},
-	{DrawUnknown, slog.LevelWarn, "outcome of a draw unknown, the record is read again"},
+	{DrawOutcomeUnknown, slog.LevelWarn, "outcome of a draw unknown, the record is read again"},
 	{GrantsReturned, slog.LevelInfo, "grants returned"},
 	{TokensBorrowed, slog.LevelInfo, "tokens borrowed from other routers"},
 	{TokensHandedOver, slog.LevelInfo, "tokens handed over to another router"},
-	{LoanShort, slog.LevelDebug, "loan smaller than asked for"},
+	{LoanShortfall, slog.LevelDebug, "loan smaller than asked for"},
 	{GrantClosed, slog.LevelInfo, "grant of a dead router closed"},
-	{BudgetShort, slog.LevelInfo, "budget has no more to give"},
+	{BudgetShortage, slog.LevelInfo, "budget has no more to give"},
 	{TokensGathered, slog.LevelInfo, "tokens gathered from another router"},
-	{ConfigInForce, slog.LevelInfo, "configuration in force"},
+	{ConfigApplied, slog.LevelInfo, "configuration in force"},
 	{ConfigRejected, slog.LevelWarn, "configuration change rejected"},
 	{SettingsReloaded, slog.LevelInfo, "settings reloaded"},
 	{SettingsRejected, slog.LevelError, "changed settings rejected, the old ones stay in force"},
@@ -146,11 +150,11 @@
 	{SourceChanged, slog.LevelInfo, "source of knowledge changed"},
 	{StoreCalls, slog.LevelInfo, "calls to the store"},
 	{BackendMissing, slog.LevelInfo, "entry of a backend server missing after an outage"},
-	{KnowledgeOld, slog.LevelInfo, "knowledge is old, the store is asked beside the call under way"},
+	{DataStale, slog.LevelInfo, "knowledge is old, the store is asked beside the call under way"},
 	{BackendLimited, slog.LevelWarn, "backend server limits its requests"},
 	{BackendUnlimited, slog.LevelInfo, "backend server limits its requests no more"},
 	{LimitRecorded, slog.LevelInfo, "limit of a backend server recorded"},
-	{LimitUnrecorded, slog.LevelWarn, "limit of a backend server not recorded"},
+	{LimitNotRecorded, slog.LevelWarn, "limit of a backend server not recorded"},
 	{InvariantBroken, slog.LevelError, "invariant broken"},
 }
 
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -19,7 +19,7 @@
 	var out bytes.Buffer
 	now := time.Date(2026, 5, 1, 12, 0, 0, 0, time.UTC)
 	log := New(&out, "entry-1@7", slog.LevelInfo, func() time.Time { return now })
-	log.Emit(DrawLanded, slog.String(KeyRequest, "r1")) // below the level
+	log.Emit(DrawCommitted, slog.String(KeyRequest, "r1")) // below the level
 	log.Observe(41)
 	log.Emit(RequestRefused, slog.String(KeyRequest, "r1"), slog.String(KeyCause, "overload"))
 
@@ -86,6 +86,6 @@
 	log := New(io.Discard, "entry-1@7", slog.LevelInfo, nil)
 	b.ReportAllocs()
 	for b.Loop() {
-		log.Emit(DrawLanded, slog.String(KeyRequest, "r1"), slog.String(KeyCause, "overload"))
+		log.Emit(DrawCommitted, slog.String(KeyRequest, "r1"), slog.String(KeyCause, "overload"))
 	}
 }
--- a/internal/forward/ends.go
+++ b/internal/forward/ends.go
@@ -41,7 +41,7 @@
 	}
 	t.caller.Abort()
 	t.f.Metrics.Refused(cause)
-	t.f.Log.Emit(event.RequestCut, append(t.attrs(), slog.String(event.KeyCause, string(cause)),
+	t.f.Log.Emit(event.ResponseAborted, append(t.attrs(), slog.String(event.KeyCause, string(cause)),
 		slog.Int64("last_event", t.lastEvent), slog.String("last", t.lastFailure))...)
 	return true
 }
--- a/internal/idempotency/guard.go
+++ b/internal/idempotency/guard.go
@@ -189,7 +189,7 @@
 	// The request's context may be cancelled because the caller has disconnected. Its repeat needs
 	// the answer nevertheless.
 	if _, err := g.commit(context.Background(), txn); err != nil {
-		g.Log.Emit(event.ClaimOpen, slog.String(event.KeyRequest, r.ID), slog.String(event.KeyAccount, r.Account.Name),
+		g.Log.Emit(event.ClaimLeftOpen, slog.String(event.KeyRequest, r.ID), slog.String(event.KeyAccount, r.Account.Name),
 			slog.Any(event.KeyCause, err))
 	}
 }
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -82,7 +82,7 @@
 func (n *Node) logStaleCheck(prefix string) func(age time.Duration, relayed, failing bool) {
 	return func(age time.Duration, relayed, failing bool) {
 		n.metrics.CountStale(prefix)
-		n.log.Emit(event.KnowledgeOld, slog.String("follows", prefix), slog.Int64("age_ms", age.Milliseconds()),
+		n.log.Emit(event.DataStale, slog.String("follows", prefix), slog.Int64("age_ms", age.Milliseconds()),
 			slog.Bool("relayed", relayed), slog.Bool("store_failing", failing))
 	}
 }
@@ -131,7 +131,7 @@
 	}
 	n.policy.Store(p)
 	n.configItem.Store(&item)
-	n.log.Emit(event.ConfigInForce, slog.Int64("config", p.Version), slog.Int64("revision", int64(item.Revision)))
+	n.log.Emit(event.ConfigApplied, slog.Int64("config", p.Version), slog.Int64("revision", int64(item.Revision)))
 }
 
 // fleetSink applies the records that routers write for each other: their entries, reports of
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -69,7 +69,7 @@
 	attrs := []slog.Attr{slog.String(event.KeyBackend, fleet.ServerID(record.Incarnation)), slog.Float64("per_second", record.PerSecond),
 		slog.Bool("over", record.Ended)}
 	if err != nil {
-		w.node.log.Emit(event.LimitUnrecorded, append(attrs, slog.Any(event.KeyCause, err))...)
+		w.node.log.Emit(event.LimitNotRecorded, append(attrs, slog.Any(event.KeyCause, err))...)
 		return
 	}
 	w.node.log.Emit(event.LimitRecorded, attrs...)
--- a/internal/timeline/budgets.go
+++ b/internal/timeline/budgets.go
@@ -52,7 +52,7 @@
 		line := &lines[i]
 		account, cause := line.Attr(event.KeyAccount), line.Attr(event.KeyCause)
 		switch line.Number {
-		case event.RequestServed, event.RequestAbandoned, event.RequestCut:
+		case event.RequestServed, event.RequestAbandoned, event.ResponseAborted:
 			if tokens, known := number(line, event.KeyTokens); known && account != "" {
 				of(account).used += tokens
 			}
--- a/internal/timeline/line.go
+++ b/internal/timeline/line.go
@@ -11,8 +11,8 @@
 	"chicorytiller.example/chicorytiller/internal/event"
 )
 
-// ErrDamaged is wrapped by the error of a line that is no event.
-var ErrDamaged = errors.New("timeline: damaged line")
+// ErrMalformedLine is wrapped by the errors of lines that are not events.
+var ErrMalformedLine = errors.New("timeline: malformed line")
 
 // Line is one event of one process.
 type Line struct {
@@ -43,28 +43,28 @@
 	return ""
 }
 
-// Decode reads one line of a log. It copies what it keeps. Its error wraps ErrDamaged.
+// Decode parses one line of a log. The result does not refer to data. Its error wraps ErrMalformedLine.
 func Decode(data []byte) (Line, error) {
 	value, err := fastjson.ParseBytes(data)
 	if err != nil {
-		return Line{}, errors.Wrap(ErrDamaged, err.Error())
+		return Line{}, errors.Wrap(ErrMalformedLine, err.Error())
 	}
 	object, err := value.Object()
 	if err != nil {
-		return Line{}, errors.Wrap(ErrDamaged, err.Error())
+		return Line{}, errors.Wrap(ErrMalformedLine, err.Error())
 	}
 	line := Line{Raw: append([]byte(nil), data...)}
 	var faults error
 	object.Visit(func(key []byte, field *fastjson.Value) {
 		if err := line.take(string(key), field); err != nil && faults == nil {
-			faults = errors.Wrapf(ErrDamaged, "%s: %v", key, err)
+			faults = errors.Wrapf(ErrMalformedLine, "%s: %v", key, err)
 		}
 	})
 	if faults != nil {
 		return Line{}, faults
 	}
 	if line.Time.IsZero() || line.Number == 0 || line.Process == "" || line.Seq == 0 || line.Clock == 0 {
-		return Line{}, errors.Wrap(ErrDamaged, "a field that each event has is missing")
+		return Line{}, errors.Wrap(ErrMalformedLine, "a required field is missing")
 	}
 	return line, nil
 }
--- a/internal/timeline/read.go
+++ b/internal/timeline/read.go
@@ -8,23 +8,23 @@
 	"github.com/pkg/errors"
 )
 
-// MaxLineBytes bounds one line of a log. A longer line counts as damaged.
+// MaxLineBytes is the maximum length of a line. A longer line counts as malformed.
 const MaxLineBytes = 1 << 20
 
-// Log is what was read of one or more logs.
+// Log contains the lines read from one or more logs.
 type Log struct {
-	Lines   []Line
-	Damaged int // lines that are no events; they are passed over
+	Lines          []Line
+	MalformedLines int // lines that are not events; they are skipped
 }
 
-// Read adds the lines of one log. A damaged line is counted, never an error: the
-// end of a killed process's log is often half a line. The error is that of r.
+// Read adds the lines of one log. Malformed lines are counted and cause no error, because
+// the log of a killed process often ends within a line. Read returns errors of r.
 func (l *Log) Read(r io.Reader) error {
 	lines := bufio.NewReaderSize(r, MaxLineBytes)
 	for {
 		data, err := lines.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
-			l.Damaged++
+			l.MalformedLines++
 			err = skipLine(lines)
 		} else {
 			l.add(data)
@@ -45,7 +45,7 @@
 	}
 	line, err := Decode(data)
 	if err != nil {
-		l.Damaged++
+		l.MalformedLines++
 		return
 	}
 	l.Lines = append(l.Lines, line)
--- a/internal/timeline/reports_test.go
+++ b/internal/timeline/reports_test.go
@@ -33,7 +33,7 @@
 		log.Emit(event.RequestServed, slog.String("route", "draft"), slog.Int("ms", 100*i), slog.Int("first_ms", 50*i),
 			slog.Int("reserved_ms", 10*i), slog.Int("server_ms", 30*i), slog.Int("pause_ms", i))
 	}
-	log.Emit(event.RequestCut, slog.String("route", "draft"), slog.Int("ms", 7))
+	log.Emit(event.ResponseAborted, slog.String("route", "draft"), slog.Int("ms", 7))
 	log.Emit(event.RequestAbandoned, slog.String("route", "other"))
 	lines := read(c, log.out.String()).Lines
 	c.Assert(fields(c, WriteRequests, lines, "draft"), qt.DeepEquals,
--- a/internal/timeline/requests.go
+++ b/internal/timeline/requests.go
@@ -66,7 +66,7 @@
 		switch line.Number {
 		case event.RequestServed:
 			byRoute[route] = append(byRoute[route], line)
-		case event.RequestAbandoned, event.RequestCut:
+		case event.RequestAbandoned, event.ResponseAborted:
 		default:
 			continue
 		}
@@ -82,7 +82,7 @@
 	fmt.Fprintln(w)
 	for _, route := range slices.Sorted(maps.Keys(ended)) {
 		counts := ended[route]
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d", route, counts[event.RequestServed], counts[event.RequestAbandoned], counts[event.RequestCut])
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d", route, counts[event.RequestServed], counts[event.RequestAbandoned], counts[event.ResponseAborted])
 		for _, s := range stages {
 			fmt.Fprintf(w, "\t%s", percentiles(s, byRoute[route]))
 		}
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -117,7 +117,7 @@
 	half := good[:len(good)/2] // the end of a killed process's log
 	log := read(c, good+"\n"+strings.Join(bad, "\n")+"\n"+good+half)
 	c.Assert(log.Lines, qt.HasLen, 2)
-	c.Assert(log.Damaged, qt.Equals, len(bad)+1)
+	c.Assert(log.MalformedLines, qt.Equals, len(bad)+1)
 }
 
 func TestFilters(t *testing.T) {
@@ -199,8 +199,8 @@
 			t.Fatal(err)
 		}
 		var again Log
-		if err := again.Read(&out); err != nil || again.Damaged != 0 || len(again.Lines) != len(merged) {
-			t.Fatalf("read again: %v, %d damaged, %d lines of %d", err, again.Damaged, len(again.Lines), len(merged))
+		if err := again.Read(&out); err != nil || again.MalformedLines != 0 || len(again.Lines) != len(merged) {
+			t.Fatalf("read again: %v, %d malformed, %d lines of %d", err, again.MalformedLines, len(again.Lines), len(merged))
 		}
 	})
 }
