--- a/cmd/chicory-engine/main.go
+++ b/cmd/chicory-engine/main.go
@@ -92,7 +92,7 @@
 		if err != nil {
 			return errors.Wrap(err, "evidence")
 		}
-		defer func() { _ = file.Close() }() // no data can be lost: lines are written unbuffered
+		defer func() { _ = file.Close() }() // no data is lost: each line is written immediately
 		opts.engine.Evidence = file
 	}
 	server := newServer(opts)
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -21,8 +21,8 @@
 var (
 	// ErrInvalid is returned for invalid input. Nothing was changed.
 	ErrInvalid = errors.New("operate: invalid")
-	// ErrConflict is returned if another operator made a conflicting change at the same
-	// time. Nothing was changed.
+	// ErrConflict is returned if the change conflicts with one that another operator made
+	// in the meantime. Nothing was changed.
 	ErrConflict = errors.New("operate: conflicting change by another operator")
 	// ErrNotFound is returned if the named object does not exist.
 	ErrNotFound = errors.New("operate: not found")
