--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -10,33 +10,34 @@
 	"github.com/sourcegraph/conc/panics"
 )
 
-// ErrPanicked: the code that makes a call is broken. Its follower goes on like after any
-// failed call, and tells of it; else it would wait for an answer for ever.
+// ErrPanicked is the error of a call whose code panicked. The follower handles and reports it
+// like any failed call; otherwise it would wait for an answer forever.
 var ErrPanicked = errors.New("store: panic in a call")
 
-// regularCall is the one call that is always under way or due: a watch, or a read.
+// regularCall is the state of the one call, a watch or a read, that is always under way or due.
 type regularCall struct {
 	next time.Time // its earliest start
 	busy bool
-	// useStore: other routers could not tell, so the store is asked once.
+	// useStore makes the next call go to the store, because the other routers had no answer.
 	useStore    bool
-	burstTokens float64 // watches that may follow by Pause alone
+	burstTokens float64 // watches that may start after Pause only; see Follower.Burst
 	started     time.Time
-	// transfer is the last call to the store; nil: none.
+	// transfer is the last call; nil: none.
 	transfer *transfer
 }
 
-// checks are the reads beside the usual call.
+// checks is the state of the additional calls to the store that are made while the data is
+// stale, in parallel with the regular call.
 type checks struct {
 	next      time.Time
-	lastStart time.Time   // when the last one started
-	period    int         // of the time in which what is known is old; others' answers don't count
-	calls     []*transfer // those that may be under way, oldest first
-	count     int         // in this time
+	lastStart time.Time   // start of the last check
+	period    int         // number of the stale period; results of earlier periods are ignored
+	calls     []*transfer // checks that may be under way, oldest first
+	count     int         // checks started in this period
 }
 
-// cancelArriving ends those of whose answers a part has come, once another answer was there first. Of
-// the others it is still to be seen whether the store is silent.
+// cancelArriving cancels the checks whose answers have begun to arrive; another answer was
+// complete first. The others go on, since they still show whether the store answers them.
 func (c *checks) cancelArriving() {
 	c.calls = slices.DeleteFunc(c.calls, func(t *transfer) bool {
 		arrived := t.lastPart.Load() != nil
@@ -49,51 +50,52 @@
 
 // Constants of the checks.
 const (
-	// checkTimeout lets a check be answered over a link whose queue holds packets for half
-	// a second: a new connection and a call take four of those times. With less, no check
-	// ever got through on such a link, and a configuration stayed unknown for five seconds.
+	// checkTimeout lets a check be answered over a link that queues packets for half a second:
+	// a new connection and a call take four of those delays. With a shorter timeout no check
+	// succeeded on such a link, and a new configuration was not seen for five seconds.
 	checkTimeout = 2400 * time.Millisecond
-	// maxChecks bounds the checks under way: as many as start within checkPatience at
-	// the spacing of a Backoff. The oldest is given up for a new one.
+	// maxChecks limits the checks under way to those that start within checkTimeout with the
+	// intervals of a Backoff. A new check replaces the oldest one.
 	maxChecks = 6
-	// relayedCheckDelay is how much later than the router that reads for it a router checks: that
-	// one's own check gets there first, and one call serves all.
+	// relayedCheckDelay is by how much a router that follows a store reader checks later than
+	// that reader, so that the reader's check succeeds first and one call serves all.
 	relayedCheckDelay = 150 * time.Millisecond
-	// backoffPollInterval is how often a follower looks whether the gate was opened by another one.
+	// backoffPollInterval is how often a follower checks whether the Backoff allows a call
+	// again, which another follower's answer may have caused.
 	backoffPollInterval = 50 * time.Millisecond
 )
 
-// Pauses between two calls to other routers.
+// Times between two calls to other routers.
 const (
-	// relayPause is short: these calls cost nothing but their processor time, and what
-	// changes nothing is left out of their answers.
+	// relayPause is short because these calls cost only CPU time, and their answers omit
+	// updates that change nothing.
 	relayPause = 30 * time.Millisecond
-	// relayRetryInterval spaces the calls to routers that have nothing to tell while the store
-	// doesn't answer this one either.
+	// relayRetryInterval spaces calls to routers that can't answer while the store doesn't
+	// answer this router either.
 	relayRetryInterval = 500 * time.Millisecond
 )
 
-// minWatchWait is the shortest wait that is asked for.
+// minWatchWait is the shortest wait of a watch.
 const minWatchWait = 20 * time.Millisecond
 
-// callKind says whom a call asks.
+// callKind is the destination and purpose of a call.
 type callKind int
 
 const (
 	askPeers   callKind = iota
-	askStore            // the usual call to the store
-	checkStore          // a read beside the usual call
+	askStore            // the regular call to the store
+	checkStore          // a check, in parallel with the regular call
 )
 
-// callResult is how a call ended: with a snapshot, changes or an error.
+// callResult is the result of a call: a snapshot, changes or an error.
 type callResult struct {
 	kind      callKind
-	period    int    // of checks
-	probe     *Probe // of checks
+	period    int    // of checks only
+	probe     *Probe // of checks only
 	started   time.Time
 	ended     time.Time
-	abandoned bool     // this router ended it
-	after     Revision // what was known then
+	abandoned bool     // ended by this router
+	after     Revision // the follower's revision when the call started
 	snapshot  *Snapshot
 	changes   *Changes
 	err       error
@@ -107,7 +109,7 @@
 	if kind == askPeers {
 		f.Feed.stop()
 	} else if f.stale(now) {
-		return // the checks ask
+		return // the checks call the store
 	} else if f.failing && !f.Backoff.Allow(now, f.maxBackoff()) {
 		f.regular.next = now.Add(backoffPollInterval)
 		return
@@ -129,8 +131,8 @@
 	if first && f.StaleCheckStarted != nil {
 		f.StaleCheckStarted(now.Sub(f.asOf), f.relaying, f.failing)
 	}
-	// The first check doesn't wait for a gate that calls on other connections have shut:
-	// they may have fallen silent, and by its wait what is known would get too old.
+	// The first check doesn't wait for a backoff that calls over other connections have
+	// started: only those connections may be dead, and waiting would let the data get too old.
 	exempt := first || f.Backoff.AnsweredSince(f.checks.lastStart)
 	if !f.Backoff.Allow(now, f.maxBackoff()) && !exempt {
 		f.checks.next = now.Add(backoffPollInterval)
@@ -148,10 +150,10 @@
 	f.checks.calls = append(f.checks.calls, f.call(ctx, calls, r, f.checkQuery(full), full))
 }
 
-// nextCheck says whether the next check is for everything or for the changes only. They take turns:
-// over a full link some 50 KB take too long, and a router that was back from an outage stayed without
-// an answer for five seconds. None is due while answers of both kinds are on their way: answers share
-// the link, and with another one asked for every moment no large one ever ends.
+// nextCheck reports whether the next check reads everything or only the changes, and whether it is
+// due. The two kinds alternate: over a congested link 50 KB take too long, and a router that came back
+// from an outage had no answer for five seconds. No check is due while answers of both kinds are
+// arriving: they share the link, and further calls would keep a large one from ever completing.
 func (f *Follower) nextCheck(now time.Time) (full, due bool) {
 	full = f.checks.count%2 == 0 || f.at == 0
 	if !f.arriving(full, now) {
@@ -160,15 +162,15 @@
 	return !full, f.at > 0 && !f.arriving(!full, now)
 }
 
-// arriving says whether an answer of the store is on its way that tells everything, or the changes
-// only.
+// arriving reports whether an answer of the store is arriving, either to a read of everything or to
+// one of the changes only.
 func (f *Follower) arriving(full bool, now time.Time) bool {
 	arriving := func(t *transfer) bool { return t.full == full && t.arriving(now) }
 	regular := f.regular.busy && f.regular.transfer != nil && arriving(f.regular.transfer)
 	return regular || slices.ContainsFunc(f.checks.calls, arriving)
 }
 
-// checkQuery is a check, over a new connection, since the open ones may have fallen silent.
+// checkQuery returns the query of a check. It uses a new connection, since the open ones may be dead.
 func (f *Follower) checkQuery(full bool) query {
 	after := f.at
 	if !full {
@@ -184,11 +186,11 @@
 	}
 }
 
-// query makes one call.
+// query makes one call to the store or to other routers.
 type query func(ctx context.Context) (*Snapshot, *Changes, error)
 
-// call makes a call in a goroutine of its own, whose answer comes to Run. whole says that it asks for
-// everything.
+// call runs a query in a new goroutine, which sends the result to Run. full says whether the query
+// reads everything.
 func (f *Follower) call(ctx context.Context, calls *conc.WaitGroup, r callResult, query query, full bool) *transfer {
 	callCtx, cancel := context.WithCancel(ctx)
 	t := &transfer{full: full, cancel: cancel}
@@ -211,7 +213,8 @@
 	return t
 }
 
-// regularQuery is the next usual call: of all, if nothing is known for sure, or of changes.
+// regularQuery returns the query of the next regular call: a watch if the follower is in sync, else a
+// read of everything.
 func (f *Follower) regularQuery(kind callKind, now time.Time) query {
 	after := f.at
 	switch {
@@ -239,8 +242,8 @@
 	}
 }
 
-// watchWait lets a watch come back when what is known is Wait + Pause old: an answer with
-// changes may have been sent as early as its call, so the one after it waits less.
+// watchWait returns the wait of a watch, so that it ends when the data is MaxWait + Pause old. An
+// answer with changes only confirms the state at the start of its call, so the next watch waits less.
 func (f *Follower) watchWait(now time.Time) time.Duration {
 	return min(f.MaxWait, max(minWatchWait, f.asOf.Add(f.MaxWait+f.Pause).Sub(now)))
 }
@@ -248,7 +251,7 @@
 // watchFunc is Store.Watch or Store.WatchNewConn.
 type watchFunc func(ctx context.Context, prefix string, after Revision, wait time.Duration) (Changes, error)
 
-// watch asks the store for changes. An answer without any is of the end of the wait.
+// watch reads changes from the store. An answer without any confirms the state at the end of the wait.
 func (f *Follower) watch(ctx context.Context, call watchFunc, after Revision, wait, timeout time.Duration) (*Snapshot, *Changes, error) {
 	ctx, cancel := withIdleTimeout(ctx, wait+timeout)
 	defer cancel()
--- a/internal/store/clock.go
+++ b/internal/store/clock.go
@@ -6,14 +6,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// BoottimeNow reads a clock that, unlike time.Now's steady one, goes on while the VM is
-// suspended, and that nobody sets. A router that was suspended for three seconds would
-// else take what it knows for three seconds younger, and tell it to others as new.
-// The times are good only for comparison with each other.
+// BoottimeNow returns the time of CLOCK_BOOTTIME. Unlike time.Now's monotonic clock it
+// advances while the VM is suspended, and it is never set. With the monotonic clock, a router
+// that was suspended for three seconds would consider its data three seconds younger than it
+// is and pass it to other routers as fresh. The returned times may only be compared with each
+// other.
 func BoottimeNow() time.Time {
 	now := unix.Timespec{}
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		panic(err) // this clock exists on every Linux
+		panic(err) // all supported Linux versions have this clock
 	}
 	return time.Unix(now.Unix())
 }
--- a/internal/store/counted.go
+++ b/internal/store/counted.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// CountingStore counts the calls to a Store by what they are for: they are paid for, and in a
-// large fleet they are the first thing to look at.
+// CountingStore wraps a Store and counts the calls by purpose. Each call costs money, and in a
+// large fleet their number is the first thing to check.
 type CountingStore struct {
 	Store Store
-	// Count takes one call: its kind, the first part of the key it is about, and how it
-	// ended.
+	// Count is called after each call with its kind, the first segment of the key it
+	// concerns, and its error.
 	Count func(kind, subject string, err error)
 }
 
 var _ Store = CountingStore{}
 
-// subject is the first part of a key.
+// subject returns the first segment of a key.
 func subject(key string) string {
 	first, _, _ := strings.Cut(key, "/")
 	return first
--- a/internal/store/feed.go
+++ b/internal/store/feed.go
@@ -8,54 +8,56 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of a Feed; the reader turns to the store itself, or to another feed.
+// Errors of a Feed. The reader then uses the store itself or another feed.
 var (
-	// ErrNoFeed: this router doesn't follow the store itself, or has not heard from it
-	// for too long.
-	ErrNoFeed = errors.New("store: no feed here")
-	// ErrBehind: the feed knows less than its reader.
+	// ErrNoFeed means that this router doesn't follow the store itself, or has had no answer
+	// from it for too long.
+	ErrNoFeed = errors.New("store: feed not available")
+	// ErrBehind means that the feed's data is older than its reader's.
 	ErrBehind = errors.New("store: feed is behind its reader")
 )
 
-// Feed keeps what a Follower learned from the store, so that other routers can follow it
-// here: in a large fleet the calls of each router for itself cost more than all else that
-// a router does. It serves only what came from the store itself, or two routers that
-// follow each other would take each other's old knowledge for new.
+// Feed holds the data that a Follower read, so that other routers can follow this one instead of
+// the store: in a large fleet, store calls by every router would cost more than everything else
+// the routers do. It serves data only while this router follows the store itself. Otherwise two
+// routers that follow each other would take each other's old data for new.
 type Feed struct {
-	// Equivalent says whether a new item tells its readers nothing that the one before did
-	// not, as a heartbeat does. Nil: each item tells something new.
+	// Equivalent reports whether a new item contains no news for readers that have the one
+	// before, as with heartbeats. Nil means that every item is news.
 	Equivalent func(before, after Item) bool
-	// Now is the clock; nil means time.Now. It must go on while the VM is suspended.
+	// Now returns the time of a clock that advances while the VM is suspended; nil means
+	// time.Now.
 	Now func() time.Time
 
 	mu            sync.Mutex
 	items         map[string]Item
-	events        []feedEvent // after floor, in the order of what they were told at
-	minRevision   Revision    // a reader that knows less must read everything
-	firstRevision Revision    // of the first read: what was before it is not known here
+	events        []feedEvent // after minRevision, ordered by learnedAt
+	minRevision   Revision    // a reader with an older revision must read everything
+	firstRevision Revision    // of the first read; earlier changes are unknown
 	at            Revision
-	// asOf: what is known is the store's state of this moment or a later one.
+	// asOf is a time such that the data reflects the store's state at this time or later.
 	asOf time.Time
-	// freshUntil is when what is known gets too old to be served.
+	// freshUntil is when the data becomes too old to be served.
 	freshUntil time.Time
-	// silence is the last time without an answer that was remarkable, silentAt the
-	// revision known until then, and silenceTold when it was told of.
+	// silence is the last long silence of the store, silenceRevision the feed's revision
+	// before it, and silenceNotedAt when it was recorded.
 	silence         Silence
 	silenceRevision Revision
 	silenceNotedAt  time.Time
 	updated         chan struct{} // closed and replaced with each answer
 }
 
-// feedEvent is a change with the store's revision at which this feed learned it. A watch
-// may pass over a change, so that only a later read shows it, with a revision below what
-// the feed's readers know by then: they would never be told of it by its own revision.
+// feedEvent is a change with the revision at which the feed learned of it. A watch may miss a
+// change, which then appears only in a later read, with a revision below that of the feed's
+// readers. Selecting events by their own revision would never deliver it.
 type feedEvent struct {
 	Event
 	learnedAt Revision
 }
 
-// maxFeedEvents bounds the changes that are kept: what a configuration storm and the
-// restart of a whole fleet make in some seconds. A reader that lacks more reads all.
+// maxFeedEvents limits the changes that are kept. It covers several seconds of frequent
+// configuration changes during a restart of the whole fleet. A reader that needs older changes
+// reads everything.
 const maxFeedEvents = 512
 
 func (f *Feed) now() time.Time {
@@ -65,9 +67,9 @@
 	return f.Now()
 }
 
-// update takes what the store answered: a read or changes. silence is the time without an
-// answer before it, asOf the moment whose state it tells at least, and freshFor how long
-// from then on it may be served.
+// update adds an answer of the store, a snapshot or changes. silence is the time without an answer
+// before it, asOf the time whose state the answer reflects at least, and freshFor how long after
+// asOf the data may be served.
 func (f *Feed) update(s *Snapshot, c *Changes, silence Silence, asOf time.Time, freshFor time.Duration) {
 	if f == nil {
 		return
@@ -85,9 +87,9 @@
 	f.notify()
 }
 
-// updateFromPeer takes what another router told, and the silence before it, which is not served.
-// Without it this feed would lack those changes once this router follows the store itself
-// again, and its readers would never updateFromPeer of them.
+// updateFromPeer adds an answer of another router and the silence before it. The data is not served
+// until this router follows the store itself again. Without it the feed would then lack these
+// changes, and its readers would never get them.
 func (f *Feed) updateFromPeer(s *Snapshot, c *Changes, silence Silence) {
 	if f == nil {
 		return
@@ -100,7 +102,7 @@
 	f.merge(s, c)
 }
 
-// noteSilence keeps a silence that came after what is known.
+// noteSilence records a silence that followed the current data.
 func (f *Feed) noteSilence(silence Silence) {
 	f.silence, f.silenceRevision, f.silenceNotedAt = silence, f.at, f.now()
 }
@@ -117,7 +119,7 @@
 	f.at = max(f.at, c.At)
 }
 
-// stop says that this router doesn't follow the store itself any more.
+// stop ends the feed until the next update, since this router no longer follows the store itself.
 func (f *Feed) stop() {
 	if f == nil {
 		return
@@ -138,8 +140,8 @@
 	f.updated = make(chan struct{})
 }
 
-// applySnapshot turns a read into the changes since the last one, so that readers need not read
-// everything each time that a watch of this router's failed.
+// applySnapshot turns a snapshot into the changes since the current data, so that readers need not
+// read everything each time a watch of this router fails.
 func (f *Feed) applySnapshot(s Snapshot) {
 	if f.items == nil {
 		f.initialize(s)
@@ -160,7 +162,7 @@
 	f.at = max(f.at, s.At)
 }
 
-// initialize takes the first read: who knows less must read everything too.
+// initialize sets the data from the first read. Readers with an older revision must read everything.
 func (f *Feed) initialize(s Snapshot) {
 	f.items = make(map[string]Item, len(s.Items))
 	for _, item := range s.Items {
@@ -169,7 +171,7 @@
 	f.minRevision, f.firstRevision, f.at = s.At, s.At, s.At
 }
 
-// apply takes one change, which readers are told of whose knowledge ends before told.
+// apply applies one change, which goes to readers whose revision is below learnedAt.
 func (f *Feed) apply(e Event, learnedAt Revision) {
 	before, known := f.items[e.Key]
 	if e.Deleted {
@@ -183,7 +185,7 @@
 	f.events = append(f.events, feedEvent{Event: e, learnedAt: learnedAt})
 }
 
-// trimEvents drops the changes beyond those that are kept.
+// trimEvents drops the oldest changes beyond maxFeedEvents.
 func (f *Feed) trimEvents() {
 	if extra := len(f.events) - maxFeedEvents; extra > 0 {
 		f.minRevision = max(f.minRevision, f.events[extra-1].learnedAt)
@@ -191,7 +193,7 @@
 	}
 }
 
-// Read returns all items to a reader that knows the store up to a revision.
+// Read returns all items to a reader whose data is of the given revision.
 func (f *Feed) Read(after Revision) (Snapshot, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -209,9 +211,9 @@
 	return s, nil
 }
 
-// Watch returns the changes after a revision: at once if there are some, else as soon as
-// the store has answered this router again, at the latest after wait, or when ctx ends. A
-// reader so hears from each answer of the store that nothing has changed until then.
+// Watch returns the changes after a revision: at once if there are any, else after the store's next
+// answer to this router, after wait or when ctx is done, whichever is first. So each answer of the
+// store also confirms to the reader that nothing has changed until then.
 func (f *Feed) Watch(ctx context.Context, after Revision, wait time.Duration) (Changes, error) {
 	callStart := f.now()
 	changes, updated, err := f.since(after, callStart)
@@ -229,8 +231,8 @@
 	return changes, err
 }
 
-// since returns what is known after a revision to a call that came in at began, and the
-// channel that tells of the next answer.
+// since returns the changes after a revision to a call received at callStart, and the channel that
+// is closed at the next answer.
 func (f *Feed) since(after Revision, callStart time.Time) (Changes, <-chan struct{}, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -251,8 +253,8 @@
 	return changes, f.updated, nil
 }
 
-// silenceSince is the remarkable silence that came after what a reader knows; none if there
-// was none.
+// silenceSince returns the recorded silence if it followed the data of a reader at the given
+// revision, else none.
 func (f *Feed) silenceSince(after Revision) Silence {
 	if f.silence.Length == 0 || after > f.silenceRevision {
 		return Silence{}
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -7,100 +7,102 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Sink takes what a Follower learns. Calls come from one goroutine, in order.
+// Sink receives the data that a Follower reads. All calls are made from one goroutine, in order.
 type Sink interface {
-	// Reset replaces all that is known under the prefix. silence is the time without
-	// an answer of the store before it; none at the first read.
+	// Reset replaces all data under the prefix. silence is the time without an answer from
+	// the store before this one; it is zero at the first read.
 	Reset(items []Item, silence Silence)
-	// Apply takes changes, in the order of their revisions.
+	// Apply applies changes, in the order of their revisions.
 	Apply(events []Event, silence Silence)
-	// SetReachable tells whether the last call was answered. It is called at each change,
-	// and after what an answer told.
+	// SetReachable reports whether the last call was answered. It is called when that changes,
+	// after the data of the answer has been passed on. cause is the error if reached is false.
 	SetReachable(reached bool, cause error)
 }
 
 // Relay reads other routers' Feeds of a prefix.
 type Relay interface {
-	// Read returns all items, from a router that knows the store up to a revision.
+	// Read returns all items from a router whose data is at least as recent as the revision.
 	Read(ctx context.Context, prefix string, after Revision) (Snapshot, error)
-	// Watch returns the changes after a revision, as soon as there is one and at the
-	// latest after some time of its own.
+	// Watch returns the changes after a revision, as soon as there is one and no later than a
+	// wait that the implementation chooses.
 	Watch(ctx context.Context, prefix string, after Revision) (Changes, error)
-	// Active says whether this router should follow others rather than the store.
+	// Active reports whether this router should follow others rather than the store.
 	Active() bool
 }
 
-// Follower keeps a Sink up to date with all keys under a prefix: one read, then
-// watches from there; another read whenever the history was lost or a watch failed.
-// It asks other routers if there are some to ask, and the store where they can't tell.
+// Follower keeps a Sink up to date with all keys under a prefix. It reads everything once and
+// then watches for changes; it reads everything again whenever the history is lost or a watch
+// fails. It calls other routers if its Relay is active, and the store if they have no answer.
 //
-// It notes with each answer which moment's state of the store that told at least. When
-// that moment is CheckAfter ago, it reads from the store beside whatever call is under
-// way, and again a little later as long as no answer came. So while the store answers new
-// calls, the age of what is known is bounded by CheckAfter, the spacing of the Backoff and a
-// round trip, whatever other calls, pauses and timeouts take: their sum was over the
-// bound that leaving servers set with the second call that failed.
+// With each answer it records the time whose state of the store the answer confirms. Once that
+// time is CheckAfter ago the data is stale, and the follower reads from the store in parallel
+// with whatever call is under way, repeatedly until there is an answer. So as long as the store
+// answers new calls, the age of the data is bounded by CheckAfter, the interval of the Backoff
+// and a round trip, however long other calls, pauses and timeouts take. Without these checks
+// their sum exceeded the limit set by backend servers that leave as soon as two calls failed.
 type Follower struct {
 	Store  Store
 	Prefix string
-	// Relay reads from other routers; nil: all comes from the store.
+	// Relay reads from other routers; nil: all data comes from the store.
 	Relay Relay
-	// Backoff spaces the calls that follow a failed one, over all followers of a router;
-	// nil: over this one.
+	// Backoff spaces the calls after a failed one. All followers of a router share it; nil
+	// means one for this follower only.
 	Backoff *Backoff
-	// Feed gets what came from the store, for other routers; nil: nobody.
+	// Feed receives the data for other routers; nil: no router follows this one.
 	Feed *Feed
 	Sink Sink
 
-	// MaxWait is how long one watch may wait at the store at the most.
+	// MaxWait is the longest time that a watch waits at the store.
 	MaxWait time.Duration
-	// Timeout is the time an answer may need beyond its wait. A call that is silent for
-	// longer is given up, since an open connection can go silent without a reset.
+	// Timeout is the time allowed for an answer beyond the wait of a watch. A call without
+	// any data for longer is cancelled, since an open connection can die without a reset.
 	Timeout time.Duration
-	// Pause is the least time between two calls: changes of one pause come in one answer.
+	// Pause is the shortest time between two calls; changes made during a pause arrive in one
+	// answer.
 	Pause time.Duration
-	// Burst is how many watches may follow each other by Pause alone, before there is
-	// one each Wait + Pause only. It bounds the calls on a prefix that changes all the
-	// time, at no cost to the age of what is known. Zero: any number.
+	// Burst is how many watches may follow each other after Pause only, before there is one
+	// per MaxWait + Pause. It limits the calls for a prefix that changes all the time, without
+	// raising the limit on the age of the data. Zero: no limit.
 	Burst int
-	// CheckAfter is the age of what is known at which the store is asked beside the call
-	// under way; zero: never.
+	// CheckAfter is the age at which data is stale, and the store is called in parallel with
+	// the call under way; zero: never.
 	CheckAfter time.Duration
 
-	// SourceChanged is told where answers come from, at the first one and each change;
-	// nil: nobody is told.
+	// SourceChanged, if not nil, is called with the source of the first answer and then
+	// whenever the source changes between the store and other routers.
 	SourceChanged func(relayed bool)
-	// StaleCheckStarted is told when what is known got old: how old, whether others were asked,
-	// and whether calls to the store failed before. Nil: nobody is told.
+	// StaleCheckStarted, if not nil, is called when the data has become stale, with its age,
+	// whether this router follows others, and whether calls to the store failed before.
 	StaleCheckStarted func(age time.Duration, relayed, failing bool)
-	// Confirmed is told, after each answer, of which moment the state is that is known at the
-	// least; nil: nobody is told.
+	// Confirmed, if not nil, is called after each answer with the time whose state of the
+	// store the data reflects at least.
 	Confirmed func(asOf time.Time)
-	// Now is a clock that goes on while the VM is suspended; nil means time.Now.
+	// Now returns the time of a clock that advances while the VM is suspended; nil means
+	// time.Now.
 	Now func() time.Time
 
 	results chan callResult
 
 	at         Revision
 	synced     bool
-	asOf       time.Time // what is known is the store's state of this moment or a later one
-	lastAnswer time.Time // of the last answer, from wherever
-	// reachable is whether the last call to the store was answered, as the sink was told.
+	asOf       time.Time // the data reflects the store's state at this time or later
+	lastAnswer time.Time // arrival of the last answer, from any source
+	// reachable is what the sink was last told; reported is false before the first time.
 	reachable, reported bool
-	// failing: the last call to the store got no answer. storeOK is the start of the last
-	// one that got one.
+	// failing is set while the last call to the store got no answer. lastStoreOKStart is the
+	// start of the last call that got one.
 	failing          bool
 	lastStoreOKStart time.Time
-	// relaying: this router follows others.
+	// relaying is set while this router follows others.
 	relaying    bool
-	sourceKnown bool // an answer came
-	lastRelayed bool // the last usual one came from another router
+	sourceKnown bool // there was an answer to a regular call
+	lastRelayed bool // the last of these came from another router
 
 	regular regularCall
 	checks  checks
 }
 
-// Run follows until ctx ends.
+// Run follows the prefix until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	var calls conc.WaitGroup
@@ -123,7 +125,8 @@
 	}
 }
 
-// setup counts the start as knowledge of nothing, so that the first call has its time.
+// setup initializes the follower. It sets asOf to now, so that data doesn't count as stale before
+// the first call has had time to succeed.
 func (f *Follower) setup() {
 	if f.Backoff == nil {
 		f.Backoff = &Backoff{}
@@ -141,13 +144,13 @@
 	return f.Now()
 }
 
-// updateRelaying sees whom to ask. It is done once a turn: the answer takes a look at the list
-// of all routers.
+// updateRelaying updates whether to follow other routers. It is called only once per iteration of
+// Run, because Active has to examine the list of all routers.
 func (f *Follower) updateRelaying() {
 	f.relaying = f.Relay != nil && f.Relay.Active()
 }
 
-// maxBackoff is the longest time between two calls to a store that doesn't answer.
+// maxBackoff returns the longest interval between two calls to a store that doesn't answer.
 func (f *Follower) maxBackoff() time.Duration {
 	if f.relaying {
 		return backoffMaxRelayed
@@ -155,7 +158,7 @@
 	return backoffMax
 }
 
-// staleAt is when what is known gets old.
+// staleAt returns the time at which the data becomes stale.
 func (f *Follower) staleAt() time.Time {
 	if f.relaying {
 		return f.asOf.Add(f.CheckAfter + relayedCheckDelay)
@@ -167,7 +170,7 @@
 	return f.CheckAfter > 0 && !now.Before(f.staleAt())
 }
 
-// untilNextDue is how long nothing is to be started.
+// untilNextDue returns the time until the next call is due.
 func (f *Follower) untilNextDue() time.Duration {
 	now := f.now()
 	due := now.Add(time.Hour)
@@ -189,8 +192,9 @@
 	return max(0, due.Sub(now))
 }
 
-// regularKind is whom the next usual call asks. When what is known is old, the checks ask the
-// store, and the usual call is for others: they may be back while the store is not.
+// regularKind returns the kind of the next regular call. While the data is stale, the checks call
+// the store, and the regular call goes to the other routers if this router follows them: they may
+// be reachable again before the store is.
 func (f *Follower) regularKind(now time.Time) callKind {
 	if f.relaying && (!f.regular.useStore || f.stale(now)) {
 		return askPeers
@@ -198,7 +202,7 @@
 	return askStore
 }
 
-// startDue starts the calls whose time has come.
+// startDue starts the calls that are due.
 func (f *Follower) startDue(ctx context.Context, calls *conc.WaitGroup) {
 	now := f.now()
 	f.startRegular(ctx, calls, now)
--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// Backoff spaces a router's calls to a store that doesn't answer, over all that it follows:
-// each refused call is paid for, and asking for one thing tells as much as asking for three.
-// The time counts from the start of one call to the start of the next, so that a call that
-// hangs doesn't put off the next one: a router that came back from a cut has an answer
-// after one spacing and a round trip, whatever the calls before took.
+// Backoff spaces a router's calls to a store that doesn't answer. All followers of a router
+// share one: each refused call costs money, and one prefix is enough to notice that the store
+// is back. Intervals run from the start of one call to the start of the next, so that a
+// hanging call doesn't delay the next one: after a network partition a router has an answer
+// within one interval and a round trip, however long earlier calls took.
 type Backoff struct {
 	mu               sync.Mutex
 	nextAllowed      time.Time
 	interval         time.Duration // between the last call and the next one; 0: the store answers
-	lastFailureStart time.Time     // the start of the latest call that failed
-	// lastSuccess is when the latest answer came.
+	lastFailureStart time.Time     // start of the most recently started call that failed
+	// lastSuccess is when the latest answer arrived.
 	lastSuccess time.Time
 	probes      probes
 }
 
 // Times between the starts of two calls while the store doesn't answer.
 const (
-	// backoffMin is long beside a call's few milliseconds, and short beside the second
-	// within which a change must be known.
+	// backoffMin is long compared with the few milliseconds of a call, and short compared
+	// with the second within which a change must be visible.
 	backoffMin = 150 * time.Millisecond
-	// backoffMax lets a router know all again within a second of the store's return: it is
-	// held to its bounds three seconds after it.
+	// backoffMax lets a router be up to date within a second of the store's return. The
+	// limits on the age of its data apply again three seconds after the return.
 	backoffMax = 600 * time.Millisecond
-	// backoffMaxRelayed is the same for a router that others usually tell: those ask the
-	// store too, and in a large fleet there are thirty of it for one of those.
+	// backoffMaxRelayed is used by a router that normally follows a store reader. The
+	// store readers call the store as well, and in a large fleet each serves thirty routers.
 	backoffMaxRelayed = 800 * time.Millisecond
 )
 
-// Allow says whether the store may be asked now, and counts the call. The store is then not
-// asked again for a time that doubles with each call, up to most.
+// Allow reports whether the store may be called now and, if so, counts the call. The interval
+// until the next allowed call doubles with each call, up to maxInterval.
 func (b *Backoff) Allow(now time.Time, maxInterval time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,15 +46,15 @@
 	return true
 }
 
-// StartProbe notes that a call starts over a connection of its own.
+// StartProbe records the start of a call over a new connection.
 func (b *Backoff) StartProbe(now time.Time) *Probe {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.probes.start(now)
 }
 
-// ProbeConnected notes that a probe's connection has come about. A read of several pages
-// has one for each; the first one counts.
+// ProbeConnected records that a probe's connection is established. A read of several pages
+// uses one connection for each; the first one counts.
 func (b *Backoff) ProbeConnected(p *Probe, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -63,17 +63,17 @@
 	}
 }
 
-// ProbeFailed notes that a probe got no answer: the store, or the way there, ended it, or
-// the router gave it up.
+// ProbeFailed records that a probe got no answer. refused reports whether the store or the
+// network ended it, rather than this router.
 func (b *Backoff) ProbeFailed(p *Probe, now time.Time, refused bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !p.answered {
-		p.abandonedAt, p.refused = now, refused
+		p.failedAt, p.refused = now, refused
 	}
 }
 
-// ProbeAnswered notes that a probe was answered. The first part of an answer counts.
+// ProbeAnswered records that a probe was answered. The first part of an answer counts.
 func (b *Backoff) ProbeAnswered(p *Probe, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,16 +84,17 @@
 	b.probes.recordAnswer(p, now)
 }
 
-// AnsweredSince says whether an answer came after a moment. Who asked last before it may ask
-// once without leave: else the one whose turn comes first takes each turn until its own answer
-// is there, and over a long link the others know what changed seconds late.
-func (b *Backoff) AnsweredSince(asked time.Time) bool {
+// AnsweredSince reports whether the store has answered any call after t. A follower whose last
+// check started before that answer may check once without Allow. Otherwise the follower that is
+// due first would use every allowed call until its own answer arrives, and over a link with high
+// latency the other followers would see changes seconds late.
+func (b *Backoff) AnsweredSince(t time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.lastSuccess.After(asked)
+	return b.lastSuccess.After(t)
 }
 
-// RecordSuccess opens the gate.
+// RecordSuccess records an answer and resets the interval.
 func (b *Backoff) RecordSuccess(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -101,7 +102,8 @@
 	b.nextAllowed, b.interval = time.Time{}, 0
 }
 
-// RecordFailure notes that a call failed. The first one may not have asked for leave.
+// RecordFailure records that a call failed. It starts the backoff if the call was made without
+// Allow, as calls to a store that answers are.
 func (b *Backoff) RecordFailure(started time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -114,8 +116,8 @@
 	}
 }
 
-// Outage says whether a call that started after a moment got no answer, and since when the
-// store may have answered again at the earliest.
+// Outage reports whether a call that started after the given time got no answer, and the
+// earliest time at which the store may have been reachable again.
 func (b *Backoff) Outage(after time.Time) (earliestReturn time.Time, broken bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -125,8 +127,9 @@
 	return after, b.lastFailureStart.After(after)
 }
 
-// OngoingOutage is Outage for a router to which the store has not answered yet: a probe that waits
-// for longer than a sound path takes stands for one that was overtaken.
+// OngoingOutage is Outage for a router that the store has not answered yet. It counts a probe
+// that has waited longer than an answer takes on a working network path like one that was
+// overtaken by a later probe.
 func (b *Backoff) OngoingOutage(after, now time.Time) (earliestReturn time.Time, broken bool) {
 	earliestReturn, broken = b.Outage(after)
 	b.mu.Lock()
--- a/internal/store/learn.go
+++ b/internal/store/learn.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 )
 
-// handleResult takes the end of a call.
+// handleResult processes the result of a call.
 func (f *Follower) handleResult(r callResult) {
 	if r.kind == checkStore {
 		f.recordProbe(r)
@@ -27,7 +27,7 @@
 	}
 }
 
-// recordProbe notes how a check ended, also of one that another answer came before.
+// recordProbe records how a check ended, even if another call was answered first.
 func (f *Follower) recordProbe(r callResult) {
 	if r.err == nil {
 		f.Backoff.ProbeAnswered(r.probe, r.ended)
@@ -36,7 +36,8 @@
 	f.Backoff.ProbeFailed(r.probe, r.ended, !r.abandoned)
 }
 
-// peersFailed turns to the store, or waits for its checks if they have begun.
+// peersFailed handles a failed call to other routers: the next regular call goes to the store, unless
+// checks already call it.
 func (f *Follower) peersFailed(err error, now time.Time) {
 	f.regular.next = now
 	if errors.Is(err, ErrCompacted) {
@@ -50,15 +51,15 @@
 	f.regular.useStore = true
 }
 
-// storeFailed judges a call that the store did not answer, or not with what was asked.
+// storeFailed handles a call that the store did not answer, or answered with an error.
 func (f *Follower) storeFailed(r callResult, now time.Time) {
 	if r.kind == askStore && f.lastStoreOKStart.After(r.started) {
-		f.regular.next = now // only its connection was silent: the store has answered a later call
+		f.regular.next = now // only this connection is dead: the store has answered a later call
 		return
 	}
-	// A store that drops its history may leave watches silent for a while, also new ones,
-	// although there were changes: a router then serves by an old configuration for
-	// seconds. A read sees what is there at once.
+	// A store that has dropped its history may leave watches unanswered for a while, even new
+	// ones, although there were changes: a router then served by an old configuration for
+	// seconds. A read returns the current state at once.
 	f.synced = false
 	if r.kind == askStore {
 		f.regular.next = now
@@ -77,7 +78,7 @@
 	}
 }
 
-// applyAnswer takes what an answer told.
+// applyAnswer passes an answer to the feed and the sink, and plans the next call.
 func (f *Follower) applyAnswer(r callResult, now time.Time) {
 	relayed := r.kind == askPeers
 	r = f.withoutOutdated(r)
@@ -106,8 +107,8 @@
 	f.scheduleNext(r.kind, now)
 }
 
-// freshFor is how long after its moment the store's state may be told to other routers:
-// until this router's own check has had its time.
+// freshFor returns how long after asOf the store's state may be served to other routers: until
+// this router's own check has had time to succeed.
 func (f *Follower) freshFor() time.Duration {
 	if f.CheckAfter == 0 {
 		return f.MaxWait + f.Timeout + f.Pause
@@ -115,7 +116,7 @@
 	return f.CheckAfter + relayedCheckDelay
 }
 
-// lag is how much older than the call's start the state may be that its answer tells.
+// lag returns by how much the returned state may be older than the start of the call.
 func (r *callResult) lag() time.Duration {
 	if r.snapshot != nil {
 		return r.snapshot.Lag
@@ -123,9 +124,9 @@
 	return r.changes.Lag
 }
 
-// recordAnswer notes an answer and returns the silence before it. Of another router's answer it
-// is that router's: where that one had the store all the time, nothing has lapsed. One that
-// started meanwhile can't tell.
+// recordAnswer records an answer and returns the silence of the store before it. For an answer of
+// another router this is the silence that router saw: if the store answered it all the time, no
+// entry has expired because of an outage. A router that started following meanwhile can't tell.
 func (f *Follower) recordAnswer(r callResult, now time.Time) Silence {
 	last := f.lastAnswer
 	f.lastAnswer = now
@@ -147,8 +148,8 @@
 	return silence
 }
 
-// reportedSilence is the silence of the store that another router told of with an answer, if it
-// could tell.
+// reportedSilence returns the silence of the store that another router reported with its answer.
+// known is false if the answer is the store's own or the router could not tell.
 func (r *callResult) reportedSilence() (reported Silence, known bool) {
 	switch {
 	case r.kind != askPeers:
@@ -159,9 +160,9 @@
 	return r.changes.Silence, true
 }
 
-// withoutOutdated leaves out what another call has overtaken: a check and the usual call may
-// be answered in either order. What is known since must not be taken back, neither here nor
-// at those who follow this router: a server that is new in it would be taken for gone.
+// withoutOutdated removes what is older than the follower's data: a check and the regular call may
+// be answered in either order. Newer data must not be reverted, neither here nor in the routers that
+// follow this one: a backend server added by it would be considered gone.
 func (f *Follower) withoutOutdated(r callResult) callResult {
 	switch {
 	case f.at == r.after:
@@ -181,7 +182,7 @@
 	return r
 }
 
-// deliver passes an answer on.
+// deliver passes an answer to the sink.
 func (f *Follower) deliver(r callResult, silence Silence) {
 	if r.snapshot != nil {
 		f.Sink.Reset(r.snapshot.Items, silence)
@@ -199,10 +200,10 @@
 	}
 }
 
-// scheduleNext sets when the next usual call starts, after an answer.
+// scheduleNext sets the start of the next regular call after an answer.
 func (f *Follower) scheduleNext(kind callKind, now time.Time) {
 	if kind == checkStore {
-		f.regular.next = f.nextWatchTime(now) // of the next one, if none is under way
+		f.regular.next = f.nextWatchTime(now) // has no effect on a call under way
 		return
 	}
 	f.reportSource(kind == askPeers)
@@ -214,8 +215,8 @@
 	f.regular.next = f.nextWatchTime(now)
 }
 
-// nextWatchTime is when the store may be watched again: after Pause while there is credit,
-// which comes back with time, else Wait + Pause after the last start.
+// nextWatchTime returns when the store may be watched again: after Pause while there are burst
+// tokens, which are refilled over time, else MaxWait + Pause after the last start.
 func (f *Follower) nextWatchTime(now time.Time) time.Time {
 	next := now.Add(f.Pause)
 	if f.Burst == 0 {
@@ -230,7 +231,8 @@
 	return f.regular.started.Add(cycle)
 }
 
-// reportSource tells of the source of a usual answer if it is another one than before.
+// reportSource calls SourceChanged if the answer to a regular call has another source than the one
+// before.
 func (f *Follower) reportSource(relayed bool) {
 	if f.SourceChanged != nil && (!f.sourceKnown || f.lastRelayed != relayed) {
 		f.SourceChanged(relayed)
--- a/internal/store/memstore/memstore.go
+++ b/internal/store/memstore/memstore.go
@@ -1,5 +1,5 @@
-// Package memstore is an in-process store.Store whose faults are set at run time:
-// outages, lost and late answers, a forgotten history. It stands in for the
+// Package memstore implements store.Store in memory and can inject faults at run time:
+// outages, lost responses, delayed writes and a compacted history. It replaces the
 // platform's store in tests and trials.
 package memstore
 
@@ -15,19 +15,19 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Outcome is what becomes of a write.
+// Outcome determines what happens to a transaction.
 type Outcome int
 
-// Fates of writes.
+// Outcomes of transactions.
 const (
-	// Answered: the write is done, and its caller told.
+	// Answered means that the transaction is executed and answered.
 	Answered Outcome = iota
-	// ResponseLost: the write is done, its answer is lost.
+	// ResponseLost means that the transaction is executed but its response is lost.
 	ResponseLost
-	// Delayed: the answer is lost, and the write is done at the next ApplyDelayed, if its
-	// conditions still hold then.
+	// Delayed means that there is no response and the transaction is executed at the next
+	// ApplyDelayed, if its conditions still hold then.
 	Delayed
-	// Dropped: neither done nor answered.
+	// Dropped means that the transaction is neither executed nor answered.
 	Dropped
 )
 
@@ -39,7 +39,7 @@
 	revision store.Revision
 	items    map[string]store.Item
 	history  []store.Event
-	// compacted is the revision up to which the history is gone.
+	// compacted is the revision up to which the history has been discarded.
 	compacted store.Revision
 	leases    map[store.LeaseID]*lease
 	lastLease store.LeaseID
@@ -57,7 +57,7 @@
 
 var _ store.Store = (*Store)(nil)
 
-// New makes an empty store. Leases follow the clock now; nil means time.Now.
+// New returns an empty store. now is the clock for leases; nil means time.Now.
 func New(now func() time.Time) *Store {
 	if now == nil {
 		now = time.Now
@@ -66,7 +66,7 @@
 		changed: make(chan struct{}), outcome: func(store.Txn) Outcome { return Answered }}
 }
 
-// SetDown begins or ends an outage; waiting watches are cut.
+// SetDown begins or ends an outage. Waiting watches fail when one begins.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,14 +74,14 @@
 	s.notify()
 }
 
-// SetOutcome chooses what becomes of each later transaction.
+// SetOutcome sets the function that determines the outcome of each later transaction.
 func (s *Store) SetOutcome(outcome func(store.Txn) Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outcome = outcome
 }
 
-// ApplyDelayed does the late writes whose conditions still hold, in their order.
+// ApplyDelayed executes the delayed transactions whose conditions still hold, in order.
 func (s *Store) ApplyDelayed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,12 +89,12 @@
 	s.delayed = nil
 	for _, txn := range delayed {
 		if _, err := s.apply(txn); err != nil && !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrLeaseGone) {
-			panic(err) // apply knows no other error
+			panic(err) // apply returns no other error
 		}
 	}
 }
 
-// Compact forgets the history.
+// Compact discards the history.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +102,7 @@
 	s.notify()
 }
 
-// Calls is how many calls came.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,14 +116,14 @@
 	return s.write(store.Put{Key: key, Value: value})
 }
 
-// Delete deletes a key.
+// Delete deletes a key without conditions.
 func (s *Store) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delete(key)
 }
 
-// startCall counts a call and lets leases run out; it fails during an outage.
+// startCall counts a call and expires leases. It fails during an outage.
 func (s *Store) startCall() error {
 	s.calls++
 	if s.down {
@@ -248,7 +248,7 @@
 	for _, key := range txn.Deletes {
 		s.delete(key)
 	}
-	// All writes of one transaction have its revision.
+	// All writes of a transaction get the same revision.
 	for _, p := range txn.Puts {
 		item := s.items[p.Key]
 		item.Revision = s.revision
--- a/internal/store/parts.go
+++ b/internal/store/parts.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// progressKey is the key of a context's function to call.
+// progressKey is the context key of the function set by WithProgressFunc.
 type progressKey struct{}
 
-// WithProgressFunc returns a context whose calls to a Store report each part of an answer that comes.
+// WithProgressFunc returns a context with which a Store calls report for each part of an
+// answer that arrives. Functions set on ctx before are called as well.
 func WithProgressFunc(ctx context.Context, report func()) context.Context {
 	outer := ctx
 	return context.WithValue(ctx, progressKey{}, func() {
@@ -18,7 +19,7 @@
 	})
 }
 
-// ReportProgress is called by a Store's adapter when a part of an answer has come.
+// ReportProgress must be called by implementations of Store when a part of an answer arrives.
 func ReportProgress(ctx context.Context) {
 	if report, wanted := ctx.Value(progressKey{}).(func()); wanted {
 		report()
@@ -26,14 +27,15 @@
 }
 
 const (
-	// maxTransferTime bounds a call of whose answer parts keep coming.
+	// maxTransferTime limits a call while parts of its answer keep arriving.
 	maxTransferTime = 15 * time.Second
-	// maxPartGap is the longest pause between two parts of an answer that is on its way.
+	// maxPartGap is the longest pause between two parts of an answer that is still arriving.
 	maxPartGap = 250 * time.Millisecond
 )
 
-// withIdleTimeout returns a context that ends once no part of an answer has come for patience. A large
-// answer over a small link takes longer than any silence that a sound path makes.
+// withIdleTimeout returns a context that is cancelled once no part of an answer has arrived for
+// timeout. A fixed limit would not do: a large answer over a slow link takes longer than any pause
+// on a working network path.
 func withIdleTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, maxTransferTime)
 	idle := time.AfterFunc(timeout, cancel)
@@ -44,14 +46,14 @@
 	}
 }
 
-// transfer is a call to the store whose answer may be on its way.
+// transfer is a call to the store whose answer may be arriving.
 type transfer struct {
-	full     bool // everything is asked for, not the changes only
+	full     bool // a read of everything, not of the changes only
 	cancel   context.CancelFunc
-	lastPart atomic.Pointer[time.Time] // when the last part came; nil: none has
+	lastPart atomic.Pointer[time.Time] // arrival of the last part; nil: none yet
 }
 
-// arriving says whether parts of the answer keep coming.
+// arriving reports whether parts of the answer keep arriving.
 func (t *transfer) arriving(now time.Time) bool {
 	part := t.lastPart.Load()
 	return part != nil && now.Sub(*part) < maxPartGap
--- a/internal/store/probes.go
+++ b/internal/store/probes.go
@@ -8,31 +8,32 @@
 
 // Constants of probes.
 const (
-	// connectJitter is by how much a connection that was asked for later may come about
-	// earlier on a sound path.
+	// connectJitter is by how much a connection that was requested later may be established
+	// earlier on a working network path.
 	connectJitter = 50 * time.Millisecond
-	// answerJitter is by how much an answer may take longer than another one on a sound
-	// path: they differ in length and in work.
+	// answerJitter is by how much an answer may take longer than another one on a working
+	// network path, since answers differ in size and in work for the store.
 	answerJitter = 500 * time.Millisecond
-	// maxProbes bounds the unanswered probes that are kept: those of checkPatience at the
-	// shortest spacing.
+	// maxProbes limits the unanswered probes that are kept. It covers those that start within
+	// checkTimeout at the shortest interval.
 	maxProbes = 16
 )
 
-// Probe is a call to the store over a connection of its own.
+// Probe is a call to the store over a new connection. Probes show when an outage ended.
 type Probe struct {
 	started   time.Time
-	connected time.Time // zero: the connection has not come about
-	// abandonedAt is when the router gave the call up; zero: not yet. refused: the store ended it.
-	abandonedAt time.Time
-	refused     bool
-	// answered: a part of its answer came.
+	connected time.Time // zero: no connection yet
+	// failedAt is when the call ended without an answer; zero: it has not. refused reports
+	// whether the store or the network ended it, rather than this router.
+	failedAt time.Time
+	refused  bool
+	// answered reports whether a part of the answer has arrived.
 	answered bool
 }
 
-// sent is when the packet was sent that made the connection, of a probe that was answered. A
-// first packet that was lost is sent again after a second: then the connection took far
-// longer than the rest.
+// sent estimates when the packet was sent that established the connection of an answered
+// probe. A lost first packet is retransmitted after a second; the connection then takes far
+// longer than the rest of the call.
 func (p *Probe) sent(answered time.Time) time.Time {
 	if p.connected.IsZero() {
 		return p.started
@@ -44,16 +45,16 @@
 	return sent
 }
 
-// waited is how long the router has waited for an answer over the probe's connection.
+// waited returns how long the router has waited for an answer over the probe's connection.
 func (p *Probe) waited(now time.Time) time.Duration {
-	if !p.abandonedAt.IsZero() {
-		return p.abandonedAt.Sub(p.connected)
+	if !p.failedAt.IsZero() {
+		return p.failedAt.Sub(p.connected)
 	}
 	return now.Sub(p.connected)
 }
 
-// overtakenBy says whether the store could not be reached when the probe started, as a later
-// one shows that was answered.
+// overtakenBy reports whether other, a later probe that was answered, shows that the store was
+// unreachable when p started.
 func (p *Probe) overtakenBy(other *Probe, now time.Time) bool {
 	if p.connected.IsZero() {
 		return other.sent(now).Sub(p.started) >= connectJitter
@@ -61,14 +62,14 @@
 	return other.started.After(p.started) && (p.refused || p.waited(now) >= now.Sub(other.connected)+answerJitter)
 }
 
-// probes are a router's calls over connections of their own. They tell since when the store
-// may have answered this router again: packets don't overtake each other, so where a later
-// one was answered first, the store could not be reached when the earlier one was sent. Other
-// silent calls prove nothing: one over a connection that was open in an outage waits for its
-// retransmission, also when new connections work again.
+// probes tracks a router's calls over new connections. They show since when the store may have
+// been reachable again: packets don't overtake each other, so if a later probe is answered first,
+// the store was unreachable when the earlier one was sent. Other unanswered calls prove nothing: a
+// call over a connection that was open during an outage waits for its retransmission even when
+// new connections work again.
 type probes struct {
 	unanswered      []*Probe  // oldest first
-	lastUnreachable time.Time // the last moment at which the store surely could not be reached
+	lastUnreachable time.Time // the last time at which the store was certainly unreachable
 }
 
 func (p *probes) start(now time.Time) *Probe {
@@ -80,7 +81,7 @@
 	return probe
 }
 
-// recordAnswer takes an answer that came at a moment.
+// recordAnswer records that a probe was answered at the given time.
 func (p *probes) recordAnswer(answered *Probe, now time.Time) {
 	for _, earlier := range p.unanswered {
 		if earlier.started.After(p.lastUnreachable) && earlier.overtakenBy(answered, now) {
@@ -92,15 +93,16 @@
 	})
 }
 
-// connectedKey is the key of a context's function to call.
+// connectedKey is the context key of the function set by WithConnectedFunc.
 type connectedKey struct{}
 
-// WithConnectedFunc returns a context whose calls to a Store report that they got a connection.
+// WithConnectedFunc returns a context with which a Store calls report when a call has got a
+// connection.
 func WithConnectedFunc(ctx context.Context, report func()) context.Context {
 	return context.WithValue(ctx, connectedKey{}, report)
 }
 
-// ReportConnected is called by a Store's adapter when a call has got its connection.
+// ReportConnected must be called by implementations of Store when a call has got its connection.
 func ReportConnected(ctx context.Context) {
 	if report, wanted := ctx.Value(connectedKey{}).(func()); wanted {
 		report()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,6 @@
-// Package store is the port to the linearizable key-value store that outlives the
-// routers: revisions, prefix reads, watches, conditional transactions and leases.
+// Package store defines the interface to the linearizable key-value store that outlives the
+// routers: revisions, prefix reads, watches, conditional transactions and leases. It also
+// contains the Follower, which keeps a local copy of a key prefix up to date.
 package store
 
 import (
@@ -9,30 +10,32 @@
 	"github.com/pkg/errors"
 )
 
-// Revision counts the changes of the whole store. Zero means: no such key.
+// Revision is the number of changes made to the whole store. Zero means that the key does
+// not exist.
 type Revision int64
 
-// LeaseID names a lease. Zero means: no lease.
+// LeaseID identifies a lease. Zero means no lease.
 type LeaseID int64
 
-// Errors of the store. Adapters wrap them; test with errors.Is.
+// Errors returned by a Store. Implementations wrap them; test with errors.Is.
 var (
-	// ErrUnavailable: the store refused or can't be reached; nothing was done.
+	// ErrUnavailable means that the store refused the call or could not be reached;
+	// nothing was done.
 	ErrUnavailable = errors.New("store: unavailable")
-	// ErrOutcomeUnknown: the call was sent and not answered. It may have taken
-	// effect, or may still do so later if its condition holds then.
+	// ErrOutcomeUnknown means that the call was sent but not answered. It may have taken
+	// effect, or may still do so later if its conditions hold then.
 	ErrOutcomeUnknown = errors.New("store: outcome unknown")
-	// ErrConflict: a condition of the transaction did not hold; nothing was written.
+	// ErrConflict means that a condition of the transaction did not hold; nothing was written.
 	ErrConflict = errors.New("store: conflict")
-	// ErrCompacted: the history that a watch asked for is no longer kept.
+	// ErrCompacted means that the history a watch asked for is no longer available.
 	ErrCompacted = errors.New("store: history compacted")
-	// ErrLeaseGone: the lease ended or never was.
+	// ErrLeaseGone means that the lease has ended or never existed.
 	ErrLeaseGone = errors.New("store: lease gone")
-	// ErrMalformed: the store's answer could not be understood.
+	// ErrMalformed means that the store's answer could not be parsed.
 	ErrMalformed = errors.New("store: malformed answer")
 )
 
-// Item is one key's content at its last change.
+// Item is a key with its value as of its last change.
 type Item struct {
 	Key      string
 	Value    []byte
@@ -40,91 +43,95 @@
 	Lease    LeaseID
 }
 
-// Event is one change of a key. Of a deleted key only Key and Revision are set.
+// Event is one change of a key. For a deleted key only Key and Revision are set.
 type Event struct {
 	Item
 	Deleted bool
 }
 
-// Snapshot is what a prefix read returned. At is the store's revision when the
-// read began: a watch from there misses nothing.
+// Snapshot is the result of a prefix read. At is the store's revision when the read
+// began: a watch from there misses nothing.
 type Snapshot struct {
 	Items []Item
 	At    Revision
-	// Lag and Silence are set by a Feed: see Changes. Continuous says that the feed has
-	// followed the store since what its reader knows; else Silence tells nothing.
+	// Lag and Silence are set by a Feed; see Changes. Continuous reports whether the feed
+	// has followed the store since the revision its reader has; if not, Silence is
+	// meaningless.
 	Lag        time.Duration
 	Silence    Silence
 	Continuous bool
 }
 
-// Changes is what a watch returned. Events is empty when the wait ran out.
+// Changes is the result of a watch. Events is empty if there was no change within the wait.
 type Changes struct {
 	Events []Event
 	At     Revision
-	// Lag is set by a Feed: how old the store's state that it tells was at most when the
-	// call for it came in. It is below zero if the feed heard of the store while it held
-	// the call back.
+	// Lag is set by a Feed: the maximum age of the returned state when the feed received
+	// the call. It is negative if the feed got an answer from the store while the call was
+	// waiting.
 	Lag time.Duration
-	// Silence is set by a Feed whose store was silent between what its reader knew and
-	// these changes. Entries that went meanwhile may have lapsed.
+	// Silence is set by a Feed if the store did not answer for a while between the
+	// reader's revision and these changes. Entries that disappeared in that time may have
+	// expired because their owners could not renew their leases.
 	Silence Silence
 }
 
-// Silence is the time before an answer of the store in which there was none.
+// Silence describes the time without any answer from the store that precedes an answer.
 type Silence struct {
 	Length time.Duration
-	// Broken: a call failed in it. Else nobody asked.
+	// Broken reports whether a call failed in that time. If not, no call was made.
 	Broken bool
-	// Ago is how long before now the store may have answered again already: the time since
-	// it surely could not be reached, or, where nobody asked, since the call that was answered.
+	// Ago is the time since the earliest moment at which the store may have been reachable
+	// again: since it was last known to be unreachable or, if no call failed, since the
+	// start of the call that was answered.
 	Ago time.Duration
 }
 
-// Condition is a condition: the key's last change is at Revision (zero: no such key).
+// Condition requires that the key was last changed at Revision (zero: does not exist).
 type Condition struct {
 	Key      string
 	Revision Revision
 }
 
-// Put writes a key, bound to a lease if one is named.
+// Put writes a key, attached to a lease if Lease is set.
 type Put struct {
 	Key   string
 	Value []byte
 	Lease LeaseID
 }
 
-// Txn is all or nothing.
+// Txn is an atomic transaction: if all conditions hold, all puts and deletes are done.
 type Txn struct {
 	Conditions []Condition
 	Puts       []Put
 	Deletes    []string
 }
 
-// Result of a transaction. Current holds, after ErrConflict, the present state
-// of the keys that were expected; keys that don't exist are missing from it.
+// Result is the result of a transaction. After ErrConflict, Current holds the present
+// state of the keys in the conditions; keys that don't exist are missing from it.
 type Result struct {
 	Revision Revision
 	Current  []Item
 }
 
-// Store is the port. Each call is priced by the platform, also a refused one.
+// Store is a key-value store. The platform charges for each call, including refused ones.
 type Store interface {
-	// Read returns all items under the prefix, at the store's present state.
+	// Read returns all items under the prefix in the store's present state.
 	Read(ctx context.Context, prefix string) (Snapshot, error)
-	// ReadNewConn is Read over a new connection: open ones may have fallen silent.
+	// ReadNewConn is Read over a new connection; open connections may be dead without
+	// having been reset.
 	ReadNewConn(ctx context.Context, prefix string) (Snapshot, error)
-	// Watch returns the changes under the prefix after a revision, as soon as
-	// there is one and at the latest after wait.
+	// Watch returns the changes under the prefix after a revision, as soon as there is one
+	// and no later than wait.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) (Changes, error)
 	// WatchNewConn is Watch over a new connection.
 	WatchNewConn(ctx context.Context, prefix string, after Revision, wait time.Duration) (Changes, error)
-	// Commit runs a transaction.
+	// Commit executes a transaction.
 	Commit(ctx context.Context, txn Txn) (Result, error)
-	// GrantLease makes a lease; its keys go when it is not renewed for ttl.
+	// GrantLease creates a lease. Its keys are deleted if it is not renewed for ttl.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
 	// RenewLease extends a lease by its ttl.
 	RenewLease(ctx context.Context, lease LeaseID) error
-	// RevokeLease ends a lease and removes its keys.
+	// RevokeLease ends a lease and deletes its keys.
 	RevokeLease(ctx context.Context, lease LeaseID) error
 }
