--- a/cmd/chicory-engine/main.go
+++ b/cmd/chicory-engine/main.go
@@ -93,7 +93,7 @@
 			return errors.Wrap(err, "evidence")
 		}
 		defer func() { _ = file.Close() }() // no data is lost: each line is written immediately
-		opts.engine.Evidence = file
+		opts.engine.ActivityLog = file
 	}
 	server := newServer(opts)
 	defer server.Close()
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -223,7 +223,7 @@
 	done := make(chan reply, 1)
 	go func() { done <- f.call(0, chatPath, body) }()
 	victim := f.awaitBusy()
-	victim.BreakConnections()
+	victim.CloseClientConnections()
 	got := <-done
 	c.Assert(got.err, qt.IsNil)
 	text, ended := streamText(c, got.body)
--- a/internal/enginestub/answererror.go
+++ b/internal/enginestub/answererror.go
@@ -32,13 +32,13 @@
 func statusOf(err error) int {
 	var known *fiber.Error
 	switch {
-	case errors.Is(err, ErrLeaving), errors.Is(err, ErrModelNotLoaded):
+	case errors.Is(err, ErrUnavailable), errors.Is(err, ErrModelNotLoaded):
 		return fiber.StatusServiceUnavailable
 	case errors.Is(err, ErrQueueFull):
 		return fiber.StatusTooManyRequests
 	case errors.Is(err, ErrMisdirected):
 		return fiber.StatusMisdirectedRequest
-	case errors.Is(err, ErrAttemptKnown):
+	case errors.Is(err, ErrDuplicateAttempt):
 		return fiber.StatusConflict
 	case errors.Is(err, ErrBadRequest):
 		return fiber.StatusBadRequest
--- a/internal/enginestub/effects.go
+++ b/internal/enginestub/effects.go
@@ -53,7 +53,7 @@
 	s.effects.Lock()
 	defer s.effects.Unlock()
 	if s.stopped {
-		return ErrLeaving
+		return ErrUnavailable
 	}
 	s.calls++
 	count(s.byRequest, request, id, request, bodyHash)
--- a/internal/enginestub/enginehandlers.go
+++ b/internal/enginestub/enginehandlers.go
@@ -95,7 +95,7 @@
 	defer s.scheduler.cancel(seq.attemptID)
 	for sent, ended := 0, false; sent < len(seq.answer); {
 		if sent, ended = seq.progress.wait(sent); ended && sent < len(seq.answer) {
-			return ErrLeaving // stopped in the middle
+			return ErrUnavailable // stopped in the middle
 		}
 	}
 	c.Set(native.HeaderOutput, strconv.Itoa(len(seq.answer)))
--- a/internal/enginestub/enginestub.go
+++ b/internal/enginestub/enginestub.go
@@ -43,8 +43,9 @@
 	// CrashAfterTokens tokens, or all but the last. Empty: never.
 	CrashMarker      string
 	CrashAfterTokens int
-	// Evidence takes what the engine does, a line each as it happens; nil: nothing.
-	Evidence io.Writer
+	// ActivityLog receives one JSON line for each action of the engine when it happens; see
+	// ReadActivityLog. Nil disables the log.
+	ActivityLog io.Writer
 	// OnCrash is called once after a crash has closed all connections. It must
 	// not call the Server.
 	OnCrash func()
@@ -67,7 +68,7 @@
 	if len(now) > 0 {
 		clock = now[0]
 	}
-	s := &Server{httpServer: newHTTPServer(cfg.ID, cfg.Evidence), cfg: cfg}
+	s := &Server{httpServer: newHTTPServer(cfg.ID, cfg.ActivityLog), cfg: cfg}
 	s.scheduler = newScheduler(cfg, clock, s.evidence, s.crash)
 	s.routes()
 	s.tasks.Go(s.scheduler.loop)
@@ -98,8 +99,8 @@
 	s.scheduler.setPaused(true)
 }
 
-// Unpause ends a Pause.
-func (s *Server) Unpause() {
+// Resume ends a pause started by Pause.
+func (s *Server) Resume() {
 	s.scheduler.setPaused(false)
 }
 
--- a/internal/enginestub/enginestub_test.go
+++ b/internal/enginestub/enginestub_test.go
@@ -114,12 +114,12 @@
 	c.Assert(err, qt.ErrorIs, ErrModelNotLoaded)
 	submit(c, e, "1", userRequest("x", 0, 0))
 	_, err = e.submit("r", "1", userRequest("x", 0, 0))
-	c.Assert(err, qt.ErrorIs, ErrAttemptKnown)
+	c.Assert(err, qt.ErrorIs, ErrDuplicateAttempt)
 	_, err = e.submit("r", "2", userRequest("x", 0, 0))
 	c.Assert(err, qt.ErrorIs, ErrQueueFull)
 	e.setLeaving()
 	_, err = e.submit("r", "3", userRequest("x", 0, 0))
-	c.Assert(err, qt.ErrorIs, ErrLeaving)
+	c.Assert(err, qt.ErrorIs, ErrUnavailable)
 	c.Assert(e.runReport().Totals.Attempts, qt.Equals, 1)
 	c.Assert(e.load(), qt.Equals, "0,1,64")
 }
@@ -142,7 +142,7 @@
 			generated, ended := other.progress.wait(other.run.Tokens)
 			c.Assert(generated < 90 && ended, qt.IsTrue)
 			_, err := e.submit("r", "3", userRequest("x", 0, 0))
-			c.Assert(err, qt.ErrorIs, ErrLeaving)
+			c.Assert(err, qt.ErrorIs, ErrUnavailable)
 		})
 	}
 }
--- a/internal/enginestub/evidence.go
+++ b/internal/enginestub/evidence.go
@@ -51,32 +51,33 @@
 	_, _ = e.out.Write(append(data, '\n'))
 }
 
-// Evidence is what the processes of one stand-in did, one after the other.
-type Evidence struct {
-	// Limits has a report for each process.
-	Limits []RateLimitReport
-	// Runs counts the runs that began, by request.
+// ActivityLog is the decoded activity log of one backend server. Each restart of the server
+// appends to the same log.
+type ActivityLog struct {
+	// Processes holds the activity of each process, oldest first.
+	Processes []ProcessActivity
+	// Runs counts the started runs by request ID.
 	Runs map[string]int
 }
 
-// ErrEvidence: written evidence can't be read.
-var ErrEvidence = errors.New("enginestub: unreadable evidence")
+// ErrMalformedLog is returned for an activity log that cannot be decoded.
+var ErrMalformedLog = errors.New("enginestub: unreadable evidence")
 
-// ReadEvidence reads what stand-ins wrote that were started with it.
-func ReadEvidence(r io.Reader) (Evidence, error) {
-	found := Evidence{Runs: make(map[string]int)}
+// ReadActivityLog decodes the lines that a Server wrote to Config.ActivityLog.
+func ReadActivityLog(r io.Reader) (ActivityLog, error) {
+	found := ActivityLog{Runs: make(map[string]int)}
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
 		line := evidenceLine{}
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
-			return Evidence{}, errors.Wrap(ErrEvidence, err.Error())
+			return ActivityLog{}, errors.Wrap(ErrMalformedLog, err.Error())
 		}
 		if line.Kind == processStarted {
-			found.Limits = append(found.Limits, RateLimitReport{})
+			found.Processes = append(found.Processes, ProcessActivity{})
 			continue
 		}
-		if len(found.Limits) == 0 {
-			return Evidence{}, errors.Wrap(ErrEvidence, "no start")
+		if len(found.Processes) == 0 {
+			return ActivityLog{}, errors.Wrap(ErrMalformedLog, "no start")
 		}
 		found.add(line)
 	}
@@ -84,11 +85,11 @@
 }
 
 // add takes a line of the newest process.
-func (e *Evidence) add(line evidenceLine) {
-	report := &e.Limits[len(e.Limits)-1]
+func (e *ActivityLog) add(line evidenceLine) {
+	report := &e.Processes[len(e.Processes)-1]
 	switch line.Kind {
 	case limitNamed:
-		report.Named = append(report.Named, NamedLimit{At: line.At, Limit: line.Limit})
+		report.RateLimits = append(report.RateLimits, RateLimitChange{At: line.At, Limit: line.Limit})
 	case requestArrived:
 		report.Arrivals = append(report.Arrivals, Arrival{Request: line.Request, At: line.At, Limit: line.Limit})
 	case requestAnswered:
@@ -99,7 +100,7 @@
 }
 
 // answered notes when the newest arrival of a request that has no answer yet was answered.
-func (r *RateLimitReport) answered(request string, at time.Time) {
+func (r *ProcessActivity) answered(request string, at time.Time) {
 	for i := len(r.Arrivals) - 1; i >= 0; i-- {
 		if a := &r.Arrivals[i]; a.Request == request && a.Answered.IsZero() {
 			a.Answered = at
--- a/internal/enginestub/evidence_test.go
+++ b/internal/enginestub/evidence_test.go
@@ -18,14 +18,14 @@
 	for _, request := range []string{"first", "second"} {
 		askOnce(c, &written, request)
 	}
-	found, err := ReadEvidence(&written)
+	found, err := ReadActivityLog(&written)
 	c.Assert(err, qt.IsNil)
 	c.Assert(found.Runs, qt.DeepEquals, map[string]int{"first": 1, "second": 1})
-	c.Assert(found.Limits, qt.HasLen, 2)
+	c.Assert(found.Processes, qt.HasLen, 2)
 	for i, request := range []string{"first", "second"} {
-		report := found.Limits[i]
-		c.Assert(report.Named, qt.HasLen, 1)
-		c.Assert(report.Named[0].Limit, qt.Equals, "1.2")
+		report := found.Processes[i]
+		c.Assert(report.RateLimits, qt.HasLen, 1)
+		c.Assert(report.RateLimits[0].Limit, qt.Equals, "1.2")
 		c.Assert(report.Arrivals, qt.HasLen, 1)
 		c.Assert(report.Arrivals[0].Request, qt.Equals, request)
 		c.Assert(report.Arrivals[0].Limit, qt.Equals, "1.2")
@@ -35,7 +35,7 @@
 
 // askOnce runs an engine that names a limit for one request.
 func askOnce(c *qt.C, written *bytes.Buffer, request string) {
-	s := New(Config{Evidence: written})
+	s := New(Config{ActivityLog: written})
 	defer s.Close()
 	s.limit.set("1.2")
 	r, err := http.NewRequest(http.MethodPost, "http://engine/v1/chat/completions",
@@ -51,7 +51,7 @@
 // Guards against a soak that takes spoiled evidence for none.
 func TestSpoiledEvidenceIsAnError(t *testing.T) {
 	for _, text := range []string{"not a line\n", `{"kind":"run_began","request":"r"}` + "\n"} {
-		_, err := ReadEvidence(strings.NewReader(text))
-		qt.Assert(t, err, qt.ErrorIs, ErrEvidence, qt.Commentf("%q", text))
+		_, err := ReadActivityLog(strings.NewReader(text))
+		qt.Assert(t, err, qt.ErrorIs, ErrMalformedLog, qt.Commentf("%q", text))
 	}
 }
--- a/internal/enginestub/httpserver.go
+++ b/internal/enginestub/httpserver.go
@@ -76,9 +76,9 @@
 	return h.listener.Addr().String()
 }
 
-// BreakConnections closes all connections without an answer; new ones are
-// taken.
-func (h *httpServer) BreakConnections() {
+// CloseClientConnections closes all open connections without completing their responses. New
+// connections are still accepted.
+func (h *httpServer) CloseClientConnections() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for conn := range h.conns {
@@ -101,7 +101,7 @@
 		_ = h.listener.Close()
 	}
 	h.mu.Unlock()
-	h.BreakConnections()
+	h.CloseClientConnections()
 }
 
 // shutdown frees what is left after kill.
--- a/internal/enginestub/ratelimit.go
+++ b/internal/enginestub/ratelimit.go
@@ -10,20 +10,21 @@
 	"chicorytiller.example/chicorytiller/internal/native"
 )
 
-// RateLimitPath is where a stand-in is told which limit to name (POST, the limit as the
-// body; empty: none).
+// RateLimitPath is the path that sets the advertised rate limit. The body of the POST request
+// is the limit; an empty body removes it.
 const RateLimitPath = "/stand-in/rate-limit"
 
-// RateLimitReport is what one process of a stand-in named, and what it got.
-type RateLimitReport struct {
-	Named    []NamedLimit
-	Arrivals []Arrival
+// ProcessActivity lists the rate limits that one backend server process advertised and the
+// requests that it received.
+type ProcessActivity struct {
+	RateLimits []RateLimitChange
+	Arrivals   []Arrival
 }
 
-// NamedLimit is a limit that is named from a moment on.
-type NamedLimit struct {
+// RateLimitChange is a change of the advertised rate limit.
+type RateLimitChange struct {
 	At time.Time
-	// Limit is the header's value; empty: none is named.
+	// Limit is the value of the rate limit header; empty: the header is not sent.
 	Limit string
 }
 
--- a/internal/enginestub/service.go
+++ b/internal/enginestub/service.go
@@ -114,12 +114,12 @@
 	}
 	defer s.finish()
 	if !s.wait() {
-		return ErrLeaving
+		return ErrUnavailable
 	}
 	marked := s.cfg.CrashMarker != "" && strings.Contains(string(c.Body()), s.cfg.CrashMarker)
 	if marked && s.cfg.CrashPoint != CrashAfterEffect {
 		s.crash()
-		return ErrLeaving
+		return ErrUnavailable
 	}
 	bodyHash := strconv.FormatUint(xxhash.Sum64(c.Body()), 16)
 	err = s.confirm(call.ID, strings.Clone(c.Get(native.HeaderRequestID)), bodyHash)
@@ -141,7 +141,7 @@
 	s.effects.Lock()
 	defer s.effects.Unlock()
 	if s.leaving || s.stopped {
-		return ErrLeaving
+		return ErrUnavailable
 	}
 	s.running++
 	return nil
--- a/internal/enginestub/submit.go
+++ b/internal/enginestub/submit.go
@@ -8,13 +8,13 @@
 	"github.com/pkg/errors"
 )
 
-// Refusals of the engine.
+// Errors for requests that the engine rejects.
 var (
-	ErrLeaving        = errors.New("enginestub: leaving, takes no new work")
-	ErrQueueFull      = errors.New("enginestub: queue is full")
-	ErrModelNotLoaded = errors.New("enginestub: model is not loaded")
-	ErrAttemptKnown   = errors.New("enginestub: attempt is known already")
-	ErrMisdirected    = errors.New("enginestub: meant for another backend server")
+	ErrUnavailable      = errors.New("enginestub: leaving, takes no new work")
+	ErrQueueFull        = errors.New("enginestub: queue is full")
+	ErrModelNotLoaded   = errors.New("enginestub: model is not loaded")
+	ErrDuplicateAttempt = errors.New("enginestub: attempt is known already")
+	ErrMisdirected      = errors.New("enginestub: meant for another backend server")
 )
 
 // submit queues an attempt.
@@ -68,11 +68,11 @@
 func (e *scheduler) refusal(s *sequence) error {
 	switch {
 	case e.leaving || e.stopped:
-		return ErrLeaving
+		return ErrUnavailable
 	case !e.anyModel && !slices.Contains(e.models, s.req.model):
 		return ErrModelNotLoaded
 	case e.byAttempt[s.attemptID] != nil:
-		return ErrAttemptKnown
+		return ErrDuplicateAttempt
 	case len(e.waiting) >= e.cfg.MaxWaiting:
 		return ErrQueueFull
 	default:
--- a/internal/soak/engines.go
+++ b/internal/soak/engines.go
@@ -37,13 +37,13 @@
 }
 
 // evidenceOf reads what the processes of an engine did.
-func (f *fleet) evidenceOf(engine int) (enginestub.Evidence, error) {
+func (f *fleet) evidenceOf(engine int) (enginestub.ActivityLog, error) {
 	file, err := os.Open(f.evidence[engine])
 	if err != nil {
-		return enginestub.Evidence{}, errors.Wrap(err, "evidence")
+		return enginestub.ActivityLog{}, errors.Wrap(err, "evidence")
 	}
 	defer func() { _ = file.Close() }() // read to its end
-	return enginestub.ReadEvidence(file)
+	return enginestub.ReadActivityLog(file)
 }
 
 // engineRuns counts the runs that began at all engines, by request.
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -82,7 +82,7 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, report := range evidence.Limits {
+		for _, report := range evidence.Processes {
 			for _, over := range overruns(report, routerOf) {
 				broken = append(broken, f.engines[i].name+": "+over)
 			}
@@ -116,16 +116,16 @@
 
 // overruns finds the spans of one limit in which a server got more than that allows, from
 // the processes that it had told.
-func overruns(report enginestub.RateLimitReport, routerOf map[string]string) []string {
+func overruns(report enginestub.ProcessActivity, routerOf map[string]string) []string {
 	var found []string
-	for i, named := range report.Named {
+	for i, named := range report.RateLimits {
 		perSecond, err := strconv.ParseFloat(named.Limit, 64)
 		if err != nil {
 			continue // none, or no number
 		}
 		end := time.Now()
-		if i+1 < len(report.Named) {
-			end = report.Named[i+1].At
+		if i+1 < len(report.RateLimits) {
+			end = report.RateLimits[i+1].At
 		}
 		got := mostTold(spanOf(report.Arrivals, named.At, end), routerOf, named.At.Add(limitBinds))
 		if allowed := limitOver*perSecond*limitWindow.Seconds() + limitExtra; float64(got) > allowed {
--- a/internal/soak/limits_test.go
+++ b/internal/soak/limits_test.go
@@ -13,7 +13,7 @@
 // Guards against a soak that keeps its promises because it counts nothing.
 func TestOverrunsAreFound(t *testing.T) {
 	named := time.Now().Add(-time.Minute)
-	report := enginestub.RateLimitReport{Named: []enginestub.NamedLimit{{At: named, Limit: "1"}, {At: named.Add(20 * time.Second), Limit: ""}}}
+	report := enginestub.ProcessActivity{RateLimits: []enginestub.RateLimitChange{{At: named, Limit: "1"}, {At: named.Add(20 * time.Second), Limit: ""}}}
 	routerOf := make(map[string]string)
 	for i := range 100 { // one router, five a second
 		at := named.Add(time.Duration(i) * 200 * time.Millisecond)
@@ -23,12 +23,12 @@
 	}
 	qt.Assert(t, overruns(report, routerOf), qt.HasLen, 1)
 
-	report.Named[0].Limit = "4" // allows 29 in four seconds
+	report.RateLimits[0].Limit = "4" // allows 29 in four seconds
 	qt.Assert(t, overruns(report, routerOf), qt.HasLen, 0)
-	report.Named[0].Limit = "a few"
+	report.RateLimits[0].Limit = "a few"
 	qt.Assert(t, overruns(report, routerOf), qt.HasLen, 0)
 
-	report.Named[0].Limit = "1"
+	report.RateLimits[0].Limit = "1"
 	for request := range routerOf { // each from a router that was told nothing before
 		routerOf[request] = request
 	}
