--- a/internal/store/age_test.go
+++ b/internal/store/age_test.go
@@ -16,14 +16,14 @@
 	"chicorytiller.example/chicorytiller/internal/store/memstore"
 )
 
-// callBehavior is what becomes of one call over an open connection, or to another router.
+// callBehavior determines the outcome of one call over an open connection or to another router.
 type callBehavior struct {
-	hangs    bool // it is never answered
-	fails    bool // it breaks after Takes
+	hangs    bool // never answered
+	fails    bool // fails after duration
 	duration time.Duration
 }
 
-// drawCalls draws what becomes of calls, in their order; later ones are answered at once.
+// drawCalls draws the behavior of calls, in order. Calls beyond the list are answered at once.
 func drawCalls(t *rapid.T, label string) *callScript {
 	draw := rapid.Custom(func(t *rapid.T) callBehavior {
 		kind := rapid.IntRange(0, 3).Draw(t, "kind")
@@ -38,7 +38,7 @@
 	calls []callBehavior
 }
 
-// next lets one call have its fate; it returns whether the call goes through.
+// next runs the next call of the script and reports whether it succeeds.
 func (s *callScript) next(ctx context.Context) bool {
 	s.mu.Lock()
 	call := callBehavior{}
@@ -58,7 +58,8 @@
 	}
 }
 
-// scriptedStore answers new calls within a round trip; those over open connections meet fates.
+// scriptedStore answers calls over new connections within a round trip; calls over open
+// connections follow a script.
 type scriptedStore struct {
 	*memstore.Store
 	open *callScript
@@ -90,7 +91,7 @@
 	return s.Store.Watch(ctx, prefix, after, wait)
 }
 
-// scriptedRelay reads another follower's feed; its calls meet fates and time out.
+// scriptedRelay reads another follower's feed; its calls follow a script and time out.
 type scriptedRelay struct {
 	feed  *store.Feed
 	calls *callScript
@@ -118,7 +119,7 @@
 	return r.feed.Watch(ctx, after, 500*time.Millisecond)
 }
 
-// valueSink is a sink that keeps the value known last.
+// valueSink is a sink that keeps the last value.
 type valueSink struct {
 	mu    sync.Mutex
 	value string
@@ -150,11 +151,11 @@
 	return s.value
 }
 
-// Guards against old knowledge while calls over open connections and to another router hang, break or take long.
+// Guards against stale data while calls over open connections or to another router hang, fail or are slow.
 func TestDataAgeIsBoundedDespiteFailingCalls(t *testing.T) {
 	const (
 		checkAfter        = 1400 * time.Millisecond
-		relayedCheckDelay = 150 * time.Millisecond // of the one that reads, over the one that follows
+		relayedCheckDelay = 150 * time.Millisecond // of the follower after the store reader
 		bound             = checkAfter + relayedCheckDelay + 2*roundTrip
 	)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -194,7 +195,7 @@
 	})
 }
 
-// unreachableStore answers nothing.
+// unreachableStore never answers.
 type unreachableStore struct{ store.Store }
 
 func (unreachableStore) Read(ctx context.Context, _ string) (store.Snapshot, error) {
@@ -215,7 +216,7 @@
 	return store.Changes{}, store.ErrOutcomeUnknown
 }
 
-// Guards against a router without the store that does not learn from another one which is back.
+// Guards against a router that can't reach the store and doesn't resume following another router that is reachable again.
 func TestPartitionedRouterFollowsPeersAgain(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		relayCalls := drawCalls(rt, "relay's calls")
@@ -231,9 +232,9 @@
 			var wg conc.WaitGroup
 			wg.Go(func() { reader.Run(ctx) })
 			wg.Go(func() { follower.Run(ctx) })
-			time.Sleep(time.Minute) // all fates are met
+			time.Sleep(time.Minute) // until all scripted calls are made
 			s.Put("a/x", []byte("1"))
-			time.Sleep(300 * time.Millisecond) // the pauses of both, and more
+			time.Sleep(300 * time.Millisecond) // longer than the pauses of both routers
 			qt.Check(t, sink.get(), qt.Equals, "1")
 			cancel()
 			wg.Wait()
--- a/internal/store/feed_test.go
+++ b/internal/store/feed_test.go
@@ -8,14 +8,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// feedTest is a feed under a clock that the test moves.
+// feedTest is a feed with a clock that the test advances.
 type feedTest struct {
 	*qt.C
 	feed Feed
 	now  time.Time
 }
 
-// freshFor is how long an answer of the store may be served in these tests.
+// freshFor is how long data may be served in these tests.
 const freshFor = 3 * time.Second
 
 func newFeedTest(t *testing.T) *feedTest {
@@ -36,7 +36,8 @@
 	f.feed.update(nil, &Changes{Events: events, At: at}, Silence{Length: silence}, f.now, freshFor)
 }
 
-// since is what a reader is told that knows the store up to a revision; it doesn't wait.
+// since returns the changed keys that a reader at the given revision gets without waiting; deleted
+// keys have the prefix "-".
 func (f *feedTest) since(after Revision) []string {
 	changes, err := f.feed.Watch(context.Background(), after, 0)
 	f.Assert(err, qt.IsNil)
@@ -50,7 +51,7 @@
 	return keys
 }
 
-// Guards against bytes for heartbeats, which tell a follower nothing new.
+// Guards against wasting bandwidth on heartbeats, which contain no news for followers.
 func TestFeedOmitsHeartbeats(t *testing.T) {
 	f := newFeedTest(t)
 	f.feed.Equivalent = func(before, after Item) bool { return string(before.Value) == string(after.Value) }
@@ -66,7 +67,7 @@
 	f.Assert(snapshot.Items, qt.HasLen, 2)
 }
 
-// Guards against followers that miss what changed between a failed watch and the read after it.
+// Guards against followers that miss changes made between a failed watch and the read after it.
 func TestFeedTurnsReadIntoChanges(t *testing.T) {
 	f := newFeedTest(t)
 	f.read(5, item("a", 2), item("b", 3))
@@ -74,7 +75,7 @@
 	f.Assert(f.since(5), qt.DeepEquals, []string{"c", "-b"})
 }
 
-// Guards against old knowledge told as new by a router that lost the store.
+// Guards against old data served as fresh by a router that can't reach the store any more.
 func TestFeedEndsWhenDataIsStale(t *testing.T) {
 	f := newFeedTest(t)
 	_, err := f.feed.Watch(context.Background(), 0, 0)
@@ -87,7 +88,7 @@
 	f.Assert(err, qt.ErrorIs, ErrNoFeed)
 }
 
-// Guards against two routers that take each other's old knowledge for new.
+// Guards against two routers that take each other's old data for new.
 func TestStoppedFeedServesNothing(t *testing.T) {
 	f := newFeedTest(t)
 	f.read(5, item("a", 2))
@@ -96,7 +97,7 @@
 	f.Assert(err, qt.ErrorIs, ErrNoFeed)
 }
 
-// Guards against followers set back by a feed that knows less, or left behind by one that forgot too much.
+// Guards against followers that go back to an older state, or miss changes that the feed has dropped.
 func TestFeedRejectsReadersOutsideItsHistory(t *testing.T) {
 	f := newFeedTest(t)
 	f.read(5, item("a", 2))
@@ -112,7 +113,7 @@
 	f.Assert(f.since(6), qt.HasLen, maxFeedEvents)
 }
 
-// Guards against followers that take servers for gone whose entries lapsed in an outage.
+// Guards against followers that consider servers gone whose entries expired in an outage of the store.
 func TestFeedReportsSilenceOfStore(t *testing.T) {
 	f := newFeedTest(t)
 	f.read(5, item("a", 2))
@@ -125,22 +126,22 @@
 	changes, err = f.feed.Watch(context.Background(), 5, 0)
 	f.Assert(err, qt.IsNil)
 	f.Assert(changes.Silence, qt.Equals, Silence{Length: 8 * time.Second, Ago: time.Second},
-		qt.Commentf("who hears of it later gives less time"))
+		qt.Commentf("for a reader one second later"))
 	changes, err = f.feed.Watch(context.Background(), 9, 0)
 	f.Assert(err, qt.IsNil)
 	f.Assert(changes.Silence, qt.Equals, Silence{})
 	for after, want := range map[Revision]Silence{5: {Length: 8 * time.Second, Ago: time.Second}, 9: {}} {
 		snapshot, err := f.feed.Read(after)
 		f.Assert(err, qt.IsNil)
-		f.Assert(snapshot.Silence, qt.Equals, want, qt.Commentf("a read by one that knows %d", after))
+		f.Assert(snapshot.Silence, qt.Equals, want, qt.Commentf("read after revision %d", after))
 		f.Assert(snapshot.Continuous, qt.IsTrue)
 	}
 	snapshot, err := f.feed.Read(4)
 	f.Assert(err, qt.IsNil)
-	f.Assert(snapshot.Continuous, qt.IsFalse, qt.Commentf("it began to follow after that"))
+	f.Assert(snapshot.Continuous, qt.IsFalse, qt.Commentf("the feed began after revision 4"))
 }
 
-// Guards against followers that hear of a change, or of the end of a feed, only after their wait.
+// Guards against followers that learn of a change, or of the end of a feed, only after their wait.
 func TestFeedWakesWaitingReaders(t *testing.T) {
 	f := newFeedTest(t)
 	f.read(5, item("a", 2))
@@ -157,7 +158,7 @@
 	f.Assert(<-results, qt.ErrorIs, ErrNoFeed)
 }
 
-// Guards against followers that take held back answers for newer than they are.
+// Guards against followers that consider delayed answers fresher than they are.
 func TestFeedReportsLag(t *testing.T) {
 	f := newFeedTest(t)
 	f.read(5, item("a", 2))
@@ -175,10 +176,11 @@
 	f.Assert(changes.Lag, qt.Equals, 200*time.Millisecond)
 	f.now = f.now.Add(freshFor - 200*time.Millisecond)
 	_, err = f.feed.Watch(context.Background(), 5, 0)
-	f.Assert(err, qt.ErrorIs, ErrNoFeed, qt.Commentf("it counts from the state, not from the answer"))
+	f.Assert(err, qt.ErrorIs, ErrNoFeed, qt.Commentf("freshFor counts from asOf, not from the answer"))
 }
 
-// Guards against a change that only a later read shows, below what followers know by then.
+// Guards against a change that is missed by a watch and appears in a later read, with a revision below
+// that of the followers, who then never get it.
 func TestFeedReportsChangeMissedByWatch(t *testing.T) {
 	f := newFeedTest(t)
 	f.read(5, item("a", 2), item("b", 3))
@@ -188,7 +190,7 @@
 	f.Assert(f.since(20), qt.DeepEquals, []string{"a"})
 }
 
-// Guards against followers that ask the store because nothing changed.
+// Guards against followers that call the store because the feed is quiet while nothing changes.
 func TestFeedReportsEachAnswer(t *testing.T) {
 	f := newFeedTest(t)
 	f.read(5, item("a", 2))
@@ -205,12 +207,12 @@
 			f.Assert(changes.Events, qt.HasLen, 0)
 			f.Assert(changes.At, qt.Equals, Revision(6))
 			return
-		case <-time.After(time.Millisecond): // the reader may not have begun to wait
+		case <-time.After(time.Millisecond): // the reader may not be waiting yet
 		}
 	}
 }
 
-// Guards against paid calls without pause to a store that does not answer.
+// Guards against paid calls in quick succession to a store that does not answer.
 func TestBackoffSpacesCalls(t *testing.T) {
 	for _, maxInterval := range []time.Duration{backoffMax, backoffMaxRelayed} {
 		b, now := &Backoff{}, time.Unix(1000, 0)
@@ -228,7 +230,7 @@
 	}
 }
 
-// Guards against a second call right after a failed one that nobody asked the gate for.
+// Guards against a second call right after a failed one that was made without Allow.
 func TestFirstFailureStartsBackoff(t *testing.T) {
 	b, now := &Backoff{}, time.Unix(1000, 0)
 	b.RecordFailure(now)
--- a/internal/store/follower_test.go
+++ b/internal/store/follower_test.go
@@ -11,9 +11,9 @@
 	"chicorytiller.example/chicorytiller/internal/store/memstore"
 )
 
-// channelSink notes what a follower tells.
+// channelSink sends the values of a follower to a channel.
 type channelSink struct {
-	values chan string // values, in the order in which they became known
+	values chan string // in the order of arrival
 }
 
 func (s *channelSink) Reset(items []store.Item, _ store.Silence) {
@@ -30,11 +30,11 @@
 
 func (s *channelSink) SetReachable(bool, error) {}
 
-// hangingStore is a store whose watches hear nothing: the first breaks, later ones wait.
+// hangingStore is a store whose watches return no changes: the first fails, later ones hang.
 type hangingStore struct {
 	*memstore.Store
 	watches      int
-	onFirstWatch func() // called before the first watch breaks
+	onFirstWatch func() // called before the first watch fails
 }
 
 func (s *hangingStore) Watch(ctx context.Context, _ string, _ store.Revision, _ time.Duration) (store.Changes, error) {
@@ -47,7 +47,7 @@
 	return store.Changes{}, store.ErrOutcomeUnknown
 }
 
-// refusingStore refuses all reads and notes when they came.
+// refusingStore refuses all reads and signals each one on a channel.
 type refusingStore struct {
 	*memstore.Store
 	reads chan struct{}
@@ -62,7 +62,7 @@
 	return s.Read(ctx, prefix)
 }
 
-// Guards against paid calls without pause to a store that refuses.
+// Guards against paid calls in quick succession to a store that refuses them.
 func TestRefusingStoreIsCalledWithBackoff(t *testing.T) {
 	s := &refusingStore{Store: memstore.New(nil), reads: make(chan struct{}, 64)}
 	start := time.Now()
@@ -91,7 +91,7 @@
 	return sink
 }
 
-// Guards against a change that is missed because the store dropped its history and watches stay silent.
+// Guards against a change that is missed because the store dropped its history and watches stay unanswered.
 func TestChangeIsReadAfterFailedWatch(t *testing.T) {
 	s := &hangingStore{Store: memstore.New(nil)}
 	s.onFirstWatch = func() { s.Put("a/1", []byte("new")) }
@@ -112,7 +112,7 @@
 	s.Compact()
 	s.Put("a/3", []byte("3"))
 	for value := <-sink.values; value != "3"; value = <-sink.values {
-		// after a lost history everything is read once more
+		// after the history is lost, everything is read again
 	}
 }
 
@@ -130,7 +130,7 @@
 	return s.Store.Read(ctx, prefix)
 }
 
-// Guards against a follower that waits for ever for a call whose code panicked.
+// Guards against a follower that waits forever for a call whose code panicked.
 func TestFollowerSurvivesPanickingCall(t *testing.T) {
 	s := &panickingStore{Store: memstore.New(nil)}
 	s.Put("a/1", []byte("known"))
--- a/internal/store/probes_test.go
+++ b/internal/store/probes_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// storePath is a router's storePath to the store, which is back at a moment.
+// storePath is a router's network path to the store, which works from reachableAt on.
 type storePath struct {
 	reachableAt time.Time
-	roundTrip   time.Duration // there and back
+	roundTrip   time.Duration
 }
 
-// connectedAt is when a connection comes about that is asked for at a moment: its first packet
-// is sent again after one, three and seven seconds.
+// connectedAt returns when a connection requested at the given time is established. Its first
+// packet is retransmitted after one, three and seven seconds.
 func (p storePath) connectedAt(started time.Time) time.Time {
 	sent := started
 	for retransmit := time.Second; sent.Before(p.reachableAt); retransmit *= 2 {
@@ -25,15 +25,15 @@
 	return sent.Add(p.roundTrip)
 }
 
-// probeEvent is something that a router sees of a probe.
+// probeEvent is an event of a probe as a router sees it. A nil apply starts the probe.
 type probeEvent struct {
 	at    time.Time
 	probe int
-	apply func(g *Backoff, p *Probe, now time.Time)
+	apply func(b *Backoff, p *Probe, now time.Time)
 }
 
-// simulate lets a router make probes from the start on and returns what it takes for the moment
-// of the return each time an answer comes.
+// simulate runs probes that start at the given times and take the given times at the store. It
+// returns the router's estimate of when the store became reachable, after each event of a probe.
 func (p storePath) simulate(starts []time.Time, workTimes []time.Duration) []time.Time {
 	var events []probeEvent
 	for i, started := range starts {
@@ -47,7 +47,7 @@
 			events = append(events, probeEvent{answered, i, (*Backoff).ProbeAnswered})
 			continue
 		}
-		events = append(events, probeEvent{started.Add(checkTimeout), i, func(g *Backoff, p *Probe, now time.Time) { g.ProbeFailed(p, now, false) }})
+		events = append(events, probeEvent{started.Add(checkTimeout), i, func(b *Backoff, p *Probe, now time.Time) { b.ProbeFailed(p, now, false) }})
 	}
 	slices.SortStableFunc(events, func(a, b probeEvent) int { return a.at.Compare(b.at) })
 	b, started, estimates := &Backoff{}, make([]*Probe, len(starts)), []time.Time(nil)
@@ -63,7 +63,8 @@
 	return estimates
 }
 
-// Guards against a grace for lapsed entries that ends too late, whatever a link's delay and the order of answers.
+// Guards against a grace period for expired entries that ends too late, whatever the link's latency and the order
+// of answers.
 func TestStoreIsNotTakenForAwayAfterItsReturn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := func(label string, minMS, maxMS int) time.Duration {
@@ -79,13 +80,13 @@
 		}
 		for _, estimate := range p.simulate(starts, workTimes) {
 			if estimate.After(p.reachableAt) {
-				t.Fatalf("taken for away %v after the return", estimate.Sub(p.reachableAt))
+				t.Fatalf("considered unreachable until %v after its return", estimate.Sub(p.reachableAt))
 			}
 		}
 	})
 }
 
-// Guards against services that are empty after an outage because its end is taken for earlier than it was.
+// Guards against services without servers after an outage because its end is dated too early.
 func TestStoreReturnIsDatedToOneInterval(t *testing.T) {
 	for _, spacing := range []time.Duration{backoffMax, backoffMaxRelayed} {
 		for phase := time.Duration(0); phase < spacing; phase += 10 * time.Millisecond {
@@ -97,12 +98,12 @@
 			}
 			estimates := p.simulate(starts, make([]time.Duration, len(starts)))
 			first := estimates[slices.IndexFunc(estimates, func(at time.Time) bool { return !at.IsZero() })]
-			qt.Assert(t, p.reachableAt.Sub(first) <= spacing+connectJitter, qt.IsTrue, qt.Commentf("phase %v: %v before it", phase, p.reachableAt.Sub(first)))
+			qt.Assert(t, p.reachableAt.Sub(first) <= spacing+connectJitter, qt.IsTrue, qt.Commentf("phase %v: estimate is %v early", phase, p.reachableAt.Sub(first)))
 		}
 	}
 }
 
-// Guards against a store that is taken for away because a large answer of it took long.
+// Guards against a store that is considered unreachable because a large answer took long.
 func TestPartialAnswerIsNotAnOutage(t *testing.T) {
 	b, start := &Backoff{}, time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -112,7 +113,7 @@
 	small := b.StartProbe(at(1000))
 	b.ProbeConnected(small, at(1005))
 	b.ProbeAnswered(small, at(1010))
-	b.ProbeFailed(large, at(3000), false) // its connection fell silent then
+	b.ProbeFailed(large, at(3000), false) // its connection has died
 	b.ProbeAnswered(b.StartProbe(at(4000)), at(4010))
 	_, broken := b.Outage(start.Add(-time.Second))
 	qt.Assert(t, broken, qt.IsFalse)
--- a/internal/store/relay_test.go
+++ b/internal/store/relay_test.go
@@ -9,9 +9,9 @@
 	"github.com/sourcegraph/conc"
 )
 
-// scriptedSource is a store and a relay that give the prepared scriptedSource, each once.
+// scriptedSource is a store and a relay that return prepared answers, each change once.
 type scriptedSource struct {
-	Store    // the calls that are not made
+	Store    // nil; for the methods that are not called
 	snapshot Snapshot
 	changes  []Changes
 	active   bool
@@ -32,7 +32,7 @@
 	return s.next()
 }
 
-// scriptedRelay is the same as what other routers tell.
+// scriptedRelay returns the same answers as if they came from other routers.
 type scriptedRelay struct{ *scriptedSource }
 
 func (r scriptedRelay) Active() bool { return r.active }
@@ -43,14 +43,15 @@
 
 func (r scriptedRelay) Watch(context.Context, string, Revision) (Changes, error) { return r.next() }
 
-// discardSink is a sink that nobody asks.
+// discardSink is a sink that ignores everything.
 type discardSink struct{}
 
 func (discardSink) Reset([]Item, Silence)    {}
 func (discardSink) Apply([]Event, Silence)   {}
 func (discardSink) SetReachable(bool, error) {}
 
-// Guards against followers that never hear of a change which their reader learned before it read the store itself.
+// Guards against followers that never get a change which their store reader learned from other routers before it read
+// the store itself.
 func TestFeedIncludesChangesLearnedFromPeers(t *testing.T) {
 	c := qt.New(t)
 	source := &scriptedSource{snapshot: Snapshot{Items: []Item{item("a", 2)}, At: 5}}
@@ -68,10 +69,10 @@
 		c.Assert(r.kind == askPeers, qt.Equals, relayed)
 		f.handleResult(r)
 	}
-	step(false, Changes{}) // reads all
+	step(false, Changes{}) // reads everything
 	step(true, Changes{At: 8, Events: []Event{{Item: item("b", 7)}}, Silence: Silence{Length: 8 * time.Second}})
 	_, err := f.Feed.Read(0)
-	c.Assert(err, qt.ErrorIs, ErrNoFeed, qt.Commentf("it has nothing of the store itself to tell"))
+	c.Assert(err, qt.ErrorIs, ErrNoFeed, qt.Commentf("while following others"))
 	step(false, Changes{At: 10, Events: []Event{{Item: item("c", 9)}}})
 
 	changes, err := f.Feed.Watch(context.Background(), 5, 0)
@@ -80,7 +81,7 @@
 	c.Assert(changes.Silence.Length, qt.Equals, 8*time.Second)
 }
 
-// Guards against a new server taken for gone because an older read was answered later.
+// Guards against a new server that is considered gone because an older read was answered later.
 func TestOutdatedCheckRevertsNothing(t *testing.T) {
 	c := qt.New(t)
 	sink := &keySink{}
@@ -99,7 +100,7 @@
 	c.Assert(f.at, qt.Equals, Revision(8))
 }
 
-// silenceSink is a sink that keeps the last silence it was told of.
+// silenceSink is a sink that keeps the last silence.
 type silenceSink struct {
 	discardSink
 	silence Silence
@@ -108,7 +109,8 @@
 func (s *silenceSink) Reset(_ []Item, silence Silence)  { s.silence = silence }
 func (s *silenceSink) Apply(_ []Event, silence Silence) { s.silence = silence }
 
-// Guards against use of servers that left in a cut of this router alone, where its reader had the store.
+// Guards against using servers that left while only this router was partitioned from the store and its store reader
+// was not.
 func TestRelayedSilenceIsThatOfStoreReader(t *testing.T) {
 	c := qt.New(t)
 	sink, now := &silenceSink{}, time.Unix(1000, 0)
@@ -124,7 +126,8 @@
 	c.Assert(sink.silence, qt.Equals, Silence{Length: reported.Length, Ago: reported.Ago + time.Millisecond})
 }
 
-// Guards against dropping servers that lapsed in an outage on the word of a router that started in it.
+// Guards against dropping servers whose entries expired in an outage because a router that started during the outage
+// reports none.
 func TestFeedStartedInOutageReportsNoSilence(t *testing.T) {
 	c := qt.New(t)
 	sink, now := &silenceSink{}, time.Unix(1000, 0)
@@ -140,7 +143,7 @@
 	c.Assert(sink.silence, qt.Equals, Silence{Length: 10600 * time.Millisecond, Broken: true, Ago: 600 * time.Millisecond})
 }
 
-// keySink is a sink that keeps the keySink that are present.
+// keySink is a sink that keeps the present keys.
 type keySink struct{ keys map[string]bool }
 
 func (k *keySink) Reset(items []Item, _ Silence) {
--- a/internal/store/transfer_test.go
+++ b/internal/store/transfer_test.go
@@ -15,19 +15,19 @@
 	"chicorytiller.example/chicorytiller/internal/store/memstore"
 )
 
-// slowLink is a way to a store on which all answers share one bandwidth. While it is cut nothing
-// is answered.
+// slowLink is a store behind a link whose bandwidth all answers share. While the link is down,
+// nothing is answered.
 type slowLink struct {
 	*memstore.Store
-	bytesPerSecond int // bytes
+	bytesPerSecond int
 
 	mu        sync.Mutex
 	down      bool
-	stalls    int // answers that stop halfway, from the next one on
-	transfers int // answers that are on their way
+	stalls    int // how many answers, from the next one on, stop halfway
+	transfers int // answers being transmitted
 }
 
-// transferStep is the time in which the answers on their way share the bandwidth anew.
+// transferStep is the interval at which the bandwidth is divided among the answers.
 const transferStep = 10 * time.Millisecond
 
 func (l *slowLink) setDown(down bool) {
@@ -42,7 +42,7 @@
 	return l.down
 }
 
-// nextStalls says whether the next answer does.
+// nextStalls reports whether the next answer stops halfway, and counts it.
 func (l *slowLink) nextStalls() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,7 +50,7 @@
 	return l.stalls >= 0
 }
 
-// addTransfers counts answers on their way.
+// addTransfers adds delta to the number of answers being transmitted and returns the result.
 func (l *slowLink) addTransfers(delta int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,7 +58,7 @@
 	return l.transfers
 }
 
-// transmit lets an answer of so many bytes come; false if its call ended first.
+// transmit transmits an answer of size bytes. It returns false if the call ends first.
 func (l *slowLink) transmit(ctx context.Context, size int) bool {
 	if l.isDown() {
 		<-ctx.Done()
@@ -120,8 +120,8 @@
 	return l.Watch(ctx, prefix, after, wait)
 }
 
-// simulateLargeAnswer lets a value grow to so many bytes while a link of 400,000 a second is cut, a third of
-// 10 Mbit/s, and returns how long after that a follower knows it. The next silent answers stop halfway.
+// simulateLargeAnswer sets a value of size bytes while a link of 400,000 bytes/s, a third of 10 Mbit/s, is down,
+// and returns how long after the link's return a follower has the value. The next stalls answers stop halfway.
 func simulateLargeAnswer(t *testing.T, size, stalls int) time.Duration {
 	link := &slowLink{Store: memstore.New(nil), bytesPerSecond: 400_000}
 	link.Put("a/x", []byte("small"))
@@ -150,7 +150,7 @@
 	return took
 }
 
-// Guards against reads of a large configuration that keep each other from ending on a small link.
+// Guards against reads of a large configuration that keep each other from completing over a slow link.
 func TestLargeAnswerArrivesOverSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		took := simulateLargeAnswer(t, 380_000, 0)
@@ -158,15 +158,15 @@
 	})
 }
 
-// Guards against calls that are ended while their answer is still coming.
+// Guards against calls that are cancelled while their answer is still arriving.
 func TestProgressingAnswerOutlastsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		took := simulateLargeAnswer(t, 1_200_000, 0) // 3 s of the link, twice that beside one of the other kind
+		took := simulateLargeAnswer(t, 1_200_000, 0) // takes 3 s over the link, 6 s with a check of the other kind
 		qt.Assert(t, took <= 7*time.Second, qt.IsTrue, qt.Commentf("%v", took))
 	})
 }
 
-// Guards against a wait for the rest of an answer whose connection fell silent.
+// Guards against waiting for the rest of an answer whose connection has died.
 func TestStalledAnswerIsRequestedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		took := simulateLargeAnswer(t, 380_000, 1)
@@ -174,11 +174,11 @@
 	})
 }
 
-// Guards against a short change that waits for the end of a large answer.
+// Guards against a small change that waits for the end of a large answer.
 func TestSmallChangeOvertakesLargeAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		link := &slowLink{Store: memstore.New(nil), bytesPerSecond: 40_000}
-		link.Put("a/large", []byte(strings.Repeat("r", 300_000))) // 7.5 s of the link
+		link.Put("a/large", []byte(strings.Repeat("r", 300_000))) // takes 7.5 s over the link
 		sink := &valueSink{}
 		f := store.Follower{Store: link, Prefix: "a/", MaxWait: time.Second, Pause: 200 * time.Millisecond,
 			Timeout: 1200 * time.Millisecond, CheckAfter: 1400 * time.Millisecond, Sink: sink}
