--- a/cmd/chicory-load/run.go
+++ b/cmd/chicory-load/run.go
@@ -46,22 +46,22 @@
 	if report.Reconciliation, err = reconcile(client, sources, result); err != nil {
 		return 0, err
 	}
-	return report.Broken(), writeReport(o, report, stdout)
+	return report.Violations(), writeReport(o, report, stdout)
 }
 
 func workloadConfig(o *options) load.WorkloadConfig {
 	return load.WorkloadConfig{
-		Seed:         o.seed,
-		RunID:        uuid.NewString(), // new for each run, so that idempotency keys are not reused
-		Accounts:     len(o.keys),
-		Model:        o.model,
-		PromptBytes:  o.promptBytes,
-		OutputMin:    o.outputTokens.min,
-		OutputMax:    o.outputTokens.max,
-		Stream:       o.stream,
-		Service:      o.service,
-		ServiceShare: o.serviceShare,
-		Answer:       enginestub.Answer,
+		Seed:            o.seed,
+		RunID:           uuid.NewString(), // new for each run, so that idempotency keys are not reused
+		Accounts:        len(o.keys),
+		Model:           o.model,
+		PromptBytes:     o.promptBytes,
+		MinOutputTokens: o.outputTokens.min,
+		MaxOutputTokens: o.outputTokens.max,
+		Stream:          o.stream,
+		Service:         o.service,
+		ServiceShare:    o.serviceShare,
+		Answer:          enginestub.Answer,
 	}
 }
 
@@ -130,7 +130,7 @@
 		sources.Budgets = func() ([]load.Budget, error) { return readBudgets(o.store) }
 	}
 	var err error
-	sources.EarlierRuns, err = client.EngineRuns(sources.Engines)
+	sources.PriorRuns, err = client.EngineRuns(sources.Engines)
 	return sources, err
 }
 
@@ -154,11 +154,11 @@
 	if sources.Empty() {
 		return nil, nil
 	}
-	evidence, err := client.Gather(sources)
+	evidence, err := client.GatherEvidence(sources)
 	if err != nil {
 		return nil, err
 	}
-	return load.Reconcile(result.Outcomes(), result.Direct(), evidence), nil
+	return load.Reconcile(result.Outcomes(), result.DirectOutcomes(), evidence), nil
 }
 
 func splitList(text string) []string {
--- a/cmd/chicory-load/run_test.go
+++ b/cmd/chicory-load/run_test.go
@@ -36,7 +36,7 @@
 	var report load.Report
 	c.Assert(json.Unmarshal(out.Bytes(), &report), qt.IsNil)
 	c.Assert(report.Targets[0].Statuses, qt.DeepEquals, map[load.Status]int{load.StatusOK: 40})
-	c.Assert(report.Targets[0].FirstToken.Count, qt.Equals, int64(40))
+	c.Assert(report.Targets[0].TimeToFirstToken.Count, qt.Equals, int64(40))
 	c.Assert(report.Reconciliation.CheckedAgainst, qt.DeepEquals, []string{"engines (40)"})
 }
 
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -34,18 +34,18 @@
 
 // Result is one logical request with all its tries.
 type Result struct {
-	Request   Request
-	Status    Status
-	Refusal   *Refusal // of the last try, when refused
-	Err       error    // of the last try
-	RequestID string   // as the router named it last
-	Usage     Usage
-	Tries     int
-	Broken    int // tries whose answer began and broke
-	Doubtful  int // tries that may have run though they brought no whole answer
-	FirstByte time.Duration
-	Whole     time.Duration
-	Gaps      []time.Duration
+	Request            Request
+	Status             Status
+	Refusal            *Refusal // of the last try, when refused
+	Err                error    // of the last try
+	RequestID          string   // as the router named it last
+	Usage              Usage
+	Tries              int
+	BrokenTries        int // tries whose answer began and broke
+	IndeterminateTries int // tries that may have run though they brought no whole answer
+	TimeToFirstToken   time.Duration
+	TotalTime          time.Duration
+	InterTokenTimes    []time.Duration
 }
 
 // Caller carries out logical requests as a real caller does: at the addresses of
@@ -88,21 +88,21 @@
 			break
 		}
 	}
-	result.Whole = time.Since(start)
+	result.TotalTime = time.Since(start)
 	return result
 }
 
 func (c *Caller) tryNext(turn *turns, req *Request, deadline time.Time, out *reply) error {
 	address, err := turn.address()
 	if err != nil {
-		return errors.Wrap(ErrNoConnection, err.Error())
+		return errors.Wrap(ErrNoResponse, err.Error())
 	}
 	if until := time.Now().Add(c.policy.TryTimeout); c.policy.TryTimeout > 0 && until.Before(deadline) {
 		deadline = until
 	}
 	err = c.client.try(address, req, deadline, out)
 	if doesNotServe(err) {
-		turn.directory.Failed(address)
+		turn.directory.MarkFailed(address)
 	}
 	return err
 }
@@ -118,7 +118,7 @@
 	if errors.As(err, &refusal) {
 		return refusal.Cause == causeDraining || refusal.Cause == causeFenced
 	}
-	return errors.Is(err, ErrNoConnection) || errors.Is(err, ErrBroken)
+	return errors.Is(err, ErrNoResponse) || errors.Is(err, ErrInterrupted)
 }
 
 // pauseAfter decides whether a caller tries again after err, and when. While other
@@ -136,9 +136,9 @@
 		if refusal.RetryAfter > 0 {
 			return refusal.RetryAfter, true
 		}
-	case errors.Is(err, ErrNoConnection) && othersLeft:
+	case errors.Is(err, ErrNoResponse) && othersLeft:
 		return 0, true
-	case errors.Is(err, ErrNoConnection), errors.Is(err, ErrBroken):
+	case errors.Is(err, ErrNoResponse), errors.Is(err, ErrInterrupted):
 	default: // wrong bytes: trying again would hide the fault
 		return 0, false
 	}
@@ -158,7 +158,7 @@
 func (r *Result) take(err error, out *reply, start time.Time) {
 	r.Err, r.Refusal = err, nil
 	if err != nil && !saysNotRun(err) {
-		r.Doubtful++
+		r.IndeterminateTries++
 	}
 	if out.requestID != "" {
 		r.RequestID = out.requestID
@@ -168,8 +168,8 @@
 	case err == nil:
 		r.Status = StatusOK
 		r.Usage = out.usage
-		r.FirstByte = out.first.Sub(start)
-		r.Gaps = out.gaps
+		r.TimeToFirstToken = out.first.Sub(start)
+		r.InterTokenTimes = out.gaps
 	case errors.As(err, &refusal):
 		r.Status, r.Refusal = StatusRefused, refusal
 		if refusal.RequestID != "" {
@@ -177,11 +177,11 @@
 		}
 	case errors.Is(err, ErrTruncated):
 		r.Status = StatusTruncated
-	case errors.Is(err, ErrDiffers):
+	case errors.Is(err, ErrMismatch):
 		r.Status = StatusSpliced
-	case errors.Is(err, ErrBroken):
+	case errors.Is(err, ErrInterrupted):
 		r.Status = StatusLost
-		r.Broken++
+		r.BrokenTries++
 	default:
 		r.Status = StatusLost
 	}
--- a/internal/load/caller_test.go
+++ b/internal/load/caller_test.go
@@ -67,7 +67,7 @@
 	result := caller.Call(context.Background(), testRequest(t, true))
 	c.Assert(result.Status, qt.Equals, StatusOK, qt.Commentf("%v", result.Err))
 	c.Assert(result.Tries, qt.Equals, 5)
-	c.Assert(result.Broken, qt.Equals, 1)
+	c.Assert(result.BrokenTries, qt.Equals, 1)
 	c.Assert(waits, qt.DeepEquals, []time.Duration{0, time.Millisecond, 0, 2 * time.Second})
 	c.Assert(router.keys, qt.DeepEquals, []string{"run-0", "run-0", "run-0"})
 	c.Assert(slices.Compact(router.bodies), qt.HasLen, 1)
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -14,10 +14,10 @@
 func (c *answerCheck) add(content []byte) error {
 	end := c.position + len(content)
 	if end > len(c.want.Text) {
-		return errors.Wrapf(ErrDiffers, "%d bytes past the end of %d", end-len(c.want.Text), len(c.want.Text))
+		return errors.Wrapf(ErrMismatch, "%d bytes past the end of %d", end-len(c.want.Text), len(c.want.Text))
 	}
 	if c.want.Text[c.position:end] != string(content) {
-		return errors.Wrapf(ErrDiffers, "within bytes %d..%d", c.position, end)
+		return errors.Wrapf(ErrMismatch, "within bytes %d..%d", c.position, end)
 	}
 	c.position = end
 	return nil
@@ -28,8 +28,8 @@
 	if c.position < len(c.want.Text) {
 		return errors.Wrapf(ErrTruncated, "at byte %d of %d", c.position, len(c.want.Text))
 	}
-	if reason != c.want.Finish {
-		return errors.Wrapf(ErrDiffers, "finish reason %q instead of %q", reason, c.want.Finish)
+	if reason != c.want.FinishReason {
+		return errors.Wrapf(ErrMismatch, "finish reason %q instead of %q", reason, c.want.FinishReason)
 	}
 	return nil
 }
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -74,7 +74,7 @@
 		request.Header.Set("Authorization", "Bearer "+credential)
 	}
 	if err := c.http.Do(request, response); err != nil {
-		return nil, errors.Wrapf(ErrNoConnection, "GET %s: %v", url, err)
+		return nil, errors.Wrapf(ErrNoResponse, "GET %s: %v", url, err)
 	}
 	body, err := wholeBody(response)
 	if err != nil {
@@ -92,7 +92,7 @@
 func (c *Client) try(address string, req *Request, deadline time.Time, out *reply) error {
 	timeout := time.Until(deadline)
 	if timeout <= 0 {
-		return errors.Wrap(ErrNoConnection, "the deadline is past")
+		return errors.Wrap(ErrNoResponse, "the deadline is past")
 	}
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -108,7 +108,7 @@
 	request.SetBodyRaw(req.Body)
 
 	if err := c.http.Do(request, response); err != nil {
-		return errors.Wrap(ErrNoConnection, err.Error())
+		return errors.Wrap(ErrNoResponse, err.Error())
 	}
 	defer response.CloseBodyStream() //nolint:errcheck // a stream that can't be closed is of no use
 	out.status = response.StatusCode()
@@ -164,7 +164,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(stream, maxBodyBytes))
 	if err != nil {
-		return nil, errors.Wrap(ErrBroken, err.Error())
+		return nil, errors.Wrap(ErrInterrupted, err.Error())
 	}
 	return body, nil
 }
--- a/internal/load/entry.go
+++ b/internal/load/entry.go
@@ -66,10 +66,10 @@
 	return nil, errors.Wrap(last, "load: no router gave an entry answer")
 }
 
-// Failed notes that an address doesn't serve. It goes to the end of the kept
+// MarkFailed notes that an address doesn't serve. It goes to the end of the kept
 // answer. Once each address has failed the answer is asked anew: all its routers
 // may have been replaced.
-func (d *Directory) Failed(address string) {
+func (d *Directory) MarkFailed(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	at := slices.Index(d.known, address)
@@ -89,7 +89,7 @@
 func parseEntry(body []byte) (EntryAnswer, error) {
 	value, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return EntryAnswer{}, errors.Wrap(ErrBadEntry, err.Error())
+		return EntryAnswer{}, errors.Wrap(ErrInvalidEntry, err.Error())
 	}
 	answer := EntryAnswer{TTL: time.Duration(value.GetInt64("ttl_ms")) * time.Millisecond}
 	for _, element := range value.GetArray("addresses") {
@@ -102,7 +102,7 @@
 		}
 	}
 	if len(answer.Addresses) == 0 {
-		return EntryAnswer{}, errors.Wrap(ErrBadEntry, "it names no address")
+		return EntryAnswer{}, errors.Wrap(ErrInvalidEntry, "it names no address")
 	}
 	return answer, nil
 }
--- a/internal/load/entry_test.go
+++ b/internal/load/entry_test.go
@@ -38,7 +38,7 @@
 	expect("b:1", "a", "b", "a", "b")
 	down = false
 	expect("a:1", "a", "b", "a", "b", "a")
-	directory.Failed("a:1") // all its addresses failed: asked anew at once
+	directory.MarkFailed("a:1") // all its addresses failed: asked anew at once
 	expect("b:1", "a", "b", "a", "b", "a", "b")
 }
 
@@ -50,8 +50,8 @@
 	directory := NewDirectory([]string{"a"}, fetch, time.Now)
 	before, err := directory.Addresses()
 	c.Assert(err, qt.IsNil)
-	directory.Failed("x")
-	directory.Failed("unknown")
+	directory.MarkFailed("x")
+	directory.MarkFailed("unknown")
 	after, err := directory.Addresses()
 	c.Assert(err, qt.IsNil)
 	c.Assert(after, qt.DeepEquals, []string{"y", "z", "x"})
@@ -65,6 +65,6 @@
 	c.Assert(answer, qt.DeepEquals, EntryAnswer{Addresses: []string{"10.0.0.1:80", "10.0.0.2:80"}, TTL: 1500 * time.Millisecond})
 	for _, bad := range []string{``, `{`, `{}`, `{"addresses":[]}`, `{"addresses":[7]}`} {
 		_, err := parseEntry([]byte(bad))
-		c.Check(err, qt.ErrorIs, ErrBadEntry, qt.Commentf("%s", bad))
+		c.Check(err, qt.ErrorIs, ErrInvalidEntry, qt.Commentf("%s", bad))
 	}
 }
--- a/internal/load/errors.go
+++ b/internal/load/errors.go
@@ -9,22 +9,22 @@
 
 // Errors of the load client. Test with errors.Is.
 var (
-	// ErrNoConnection: no answer began: connecting or sending failed, or the
+	// ErrNoResponse: no answer began: connecting or sending failed, or the
 	// connection closed before the status line.
-	ErrNoConnection = errors.New("load: no connection")
-	// ErrBroken: an answer began and broke before its end ([DONE], or the
+	ErrNoResponse = errors.New("load: no connection")
+	// ErrInterrupted: an answer began and broke before its end ([DONE], or the
 	// whole body).
-	ErrBroken = errors.New("load: answer broken before its end")
-	// ErrDiffers: the answer's bytes aren't those that the request must get.
-	ErrDiffers = errors.New("load: answer differs from what it must be")
+	ErrInterrupted = errors.New("load: answer broken before its end")
+	// ErrMismatch: the answer's bytes aren't those that the request must get.
+	ErrMismatch = errors.New("load: answer differs from what it must be")
 	// ErrTruncated: the answer ended in good form, but before its last byte.
 	ErrTruncated = errors.New("load: answer ends early")
-	// ErrBadEntry: a router's entry answer can't be used.
-	ErrBadEntry = errors.New("load: bad entry answer")
+	// ErrInvalidEntry: a router's entry answer can't be used.
+	ErrInvalidEntry = errors.New("load: bad entry answer")
 	// ErrLineTooLong: a line of a stream is longer than maxLineBytes.
 	ErrLineTooLong = errors.New("load: line of the stream too long")
-	// ErrBadConfig: the options don't make a run.
-	ErrBadConfig = errors.New("load: bad options")
+	// ErrInvalidConfig: the options don't make a run.
+	ErrInvalidConfig = errors.New("load: bad options")
 )
 
 // Refusal is a typed error answer of a router.
--- a/internal/load/evidence.go
+++ b/internal/load/evidence.go
@@ -11,8 +11,8 @@
 	Engines  []string                 // "IP:port" of each engine stand-in
 	Services []string                 // "IP:port" of each service stand-in
 	Budgets  func() ([]Budget, error) // reads the store; nil: not asked
-	// EarlierRuns are the engine runs of before the run; they are left out.
-	EarlierRuns map[string]int
+	// PriorRuns are the engine runs of before the run; they are left out.
+	PriorRuns map[string]int
 }
 
 // Empty tells that there is nothing to read.
@@ -20,14 +20,14 @@
 	return len(s.Engines) == 0 && len(s.Services) == 0 && s.Budgets == nil
 }
 
-// Gather reads the evidence from its sources.
-func (c *Client) Gather(sources Sources) (Evidence, error) {
+// GatherEvidence reads the evidence from its sources.
+func (c *Client) GatherEvidence(sources Sources) (Evidence, error) {
 	var evidence Evidence
 	var err error
 	if evidence.EngineRuns, err = c.EngineRuns(sources.Engines); err != nil {
 		return Evidence{}, err
 	}
-	for request := range sources.EarlierRuns {
+	for request := range sources.PriorRuns {
 		delete(evidence.EngineRuns, request)
 	}
 	if evidence.ServiceRuns, err = c.gatherServiceRuns(sources.Services); err != nil {
--- a/internal/load/evidence_test.go
+++ b/internal/load/evidence_test.go
@@ -31,7 +31,7 @@
 	address := serve(c, engine.Serve, engine.Close)
 	workload, err := NewWorkload(WorkloadConfig{
 		Seed: 1, RunID: "run", Accounts: 1, Model: "m", PromptBytes: 64,
-		OutputMin: 1, OutputMax: 40, Stream: true, Answer: enginestub.Answer,
+		MinOutputTokens: 1, MaxOutputTokens: 40, Stream: true, Answer: enginestub.Answer,
 	})
 	c.Assert(err, qt.IsNil)
 	var waits []time.Duration
@@ -59,7 +59,7 @@
 		result := caller.Call(context.Background(), request)
 		c.Assert(result.Status, qt.Equals, StatusOK, qt.Commentf("%v", result.Err))
 	}
-	evidence, err := caller.client.Gather(Sources{Services: []string{address}})
+	evidence, err := caller.client.GatherEvidence(Sources{Services: []string{address}})
 	c.Assert(err, qt.IsNil)
 	c.Assert(evidence.ServiceRuns, qt.DeepEquals, map[string]int{"k1": 2})
 }
--- a/internal/load/fixture_test.go
+++ b/internal/load/fixture_test.go
@@ -101,7 +101,7 @@
 func testRequest(t testing.TB, stream bool) Request {
 	workload, err := NewWorkload(WorkloadConfig{
 		Seed: 1, RunID: "run", Accounts: 1, Model: "m", PromptBytes: 64,
-		OutputMin: 5, OutputMax: 5, Stream: stream, Answer: testAnswer,
+		MinOutputTokens: 5, MaxOutputTokens: 5, Stream: stream, Answer: testAnswer,
 	})
 	qt.Assert(t, err, qt.IsNil)
 	return workload.Request(0)
--- a/internal/load/money.go
+++ b/internal/load/money.go
@@ -7,7 +7,7 @@
 	for _, budget := range budgets {
 		granted += budget.Granted
 		if past := budget.Granted - budget.Prepaid; past > 0 {
-			r.Overspend += past
+			r.OverspentTokens += past
 			r.example("account %s: %d granted of %d", budget.Account, budget.Granted, budget.Prepaid)
 		}
 	}
@@ -18,7 +18,7 @@
 		}
 	}
 	if past := answered - granted; past > 0 {
-		r.Ungranted = past
+		r.UngrantedTokens = past
 		r.example("%d tokens answered, %d granted", answered, granted)
 	}
 	r.checkBudgetRefusals(outcomes, budgets)
@@ -38,8 +38,8 @@
 		least = min(least, budget.Prepaid-budget.Granted)
 	}
 	for i := range outcomes {
-		if outcomes[i].Cause == causeBudget && outcomes[i].Need <= least {
-			r.FalseRefusals++
+		if outcomes[i].Cause == causeBudget && outcomes[i].MaxUsage <= least {
+			r.FalseBudgetRefusals++
 		}
 	}
 }
--- a/internal/load/reconcile.go
+++ b/internal/load/reconcile.go
@@ -21,15 +21,15 @@
 
 // Reconciliation counts contradictions between the answers and the evidence.
 type Reconciliation struct {
-	CheckedAgainst  []string `json:"checked_against"`
-	UntrueRefusals  int      `json:"untrue_refusals"`   // not_run said of what ran
-	UnexplainedRuns int      `json:"unexplained_runs"`  // runs beyond all tries that may have run
-	DuplicateRuns   int      `json:"duplicate_runs"`    // non-idempotent runs past the first
-	ConfirmedNotRun int      `json:"confirmed_not_run"` // a service answer without a run
-	Ungranted       int64    `json:"ungranted"`         // tokens answered beyond all that was granted
-	Overspend       int64    `json:"overspend"`         // tokens
-	FalseRefusals   int      `json:"false_refusals"`    // for lack of budget, with enough left at the end
-	Examples        []string `json:"examples"`
+	CheckedAgainst      []string `json:"checked_against"`
+	FalseNotRun         int      `json:"untrue_refusals"`   // not_run said of what ran
+	UnexplainedRuns     int      `json:"unexplained_runs"`  // runs beyond all tries that may have run
+	DuplicateRuns       int      `json:"duplicate_runs"`    // non-idempotent runs past the first
+	ConfirmedWithoutRun int      `json:"confirmed_not_run"` // a service answer without a run
+	UngrantedTokens     int64    `json:"ungranted"`         // tokens answered beyond all that was granted
+	OverspentTokens     int64    `json:"overspend"`         // tokens
+	FalseBudgetRefusals int      `json:"false_refusals"`    // for lack of budget, with enough left at the end
+	Examples            []string `json:"examples"`
 }
 
 // maxExamples bounds the examples that a report lists.
@@ -37,8 +37,8 @@
 
 // broken counts what must be zero. False refusals are measured, not promised away.
 func (r *Reconciliation) broken() int {
-	return r.UntrueRefusals + r.UnexplainedRuns + r.DuplicateRuns + r.ConfirmedNotRun +
-		int(r.Ungranted+r.Overspend)
+	return r.FalseNotRun + r.UnexplainedRuns + r.DuplicateRuns + r.ConfirmedWithoutRun +
+		int(r.UngrantedTokens+r.OverspentTokens)
 }
 
 func (r *Reconciliation) example(format string, args ...any) {
@@ -81,7 +81,7 @@
 	for i := range outcomes {
 		outcome := &outcomes[i]
 		if outcome.Kind == KindCompletion && outcome.saidNotRun() && runs[outcome.RequestID] > 0 {
-			r.UntrueRefusals++
+			r.FalseNotRun++
 			r.example("request %s was refused as not run, and an engine ran it", outcome.RequestID)
 		}
 	}
@@ -96,7 +96,7 @@
 	for _, all := range [][]Outcome{outcomes, direct} {
 		for i := range all {
 			known[all[i].RequestID] = true
-			doubtful += all[i].Doubtful
+			doubtful += all[i].IndeterminateTries
 		}
 	}
 	unknown := 0
@@ -123,11 +123,11 @@
 			r.example("the confirm call with key %s ran %d times", outcome.Key, count)
 		}
 		if outcome.saidNotRun() && count > 0 {
-			r.UntrueRefusals++
+			r.FalseNotRun++
 			r.example("the confirm call with key %s was refused as not run, and it ran", outcome.Key)
 		}
 		if outcome.Status == StatusOK && count == 0 {
-			r.ConfirmedNotRun++
+			r.ConfirmedWithoutRun++
 			r.example("the confirm call with key %s was answered, and it never ran", outcome.Key)
 		}
 	}
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -46,18 +46,18 @@
 
 // Outcome is what reconciling needs of one logical request.
 type Outcome struct {
-	Key       string
-	RequestID string
-	Account   int
-	Kind      Kind
-	Status    Status
-	Cause     string // of the last refusal
-	Outcome   string // of the last refusal
-	Doubtful  int    // tries that may have run though they brought no whole answer
-	Usage     Usage
-	// Need bounds from above what the request could use, in tokens: a token has
+	Key                string
+	RequestID          string
+	Account            int
+	Kind               Kind
+	Status             Status
+	Cause              string // of the last refusal
+	Outcome            string // of the last refusal
+	IndeterminateTries int    // tries that may have run though they brought no whole answer
+	Usage              Usage
+	// MaxUsage bounds from above what the request could use, in tokens: a token has
 	// at least one byte.
-	Need int64
+	MaxUsage int64
 }
 
 // maxFaults bounds the faults that a report lists; all are counted.
@@ -85,11 +85,11 @@
 	defer r.mu.Unlock()
 	r.statuses[result.Status]++
 	r.retries += result.Tries - 1
-	r.broken += result.Broken
+	r.broken += result.BrokenTries
 	outcome := Outcome{
 		Key: result.Request.Key, RequestID: result.RequestID, Account: result.Request.Account,
-		Kind: result.Request.Kind, Status: result.Status, Doubtful: result.Doubtful, Usage: result.Usage,
-		Need: int64(len(result.Request.Body) + result.Request.Want.Tokens),
+		Kind: result.Request.Kind, Status: result.Status, IndeterminateTries: result.IndeterminateTries, Usage: result.Usage,
+		MaxUsage: int64(len(result.Request.Body) + result.Request.Want.Tokens),
 	}
 	switch result.Status {
 	case StatusOK:
@@ -105,13 +105,13 @@
 }
 
 func (r *Recorder) addLatencies(result *Result) {
-	record(r.whole, result.Whole)
+	record(r.whole, result.TotalTime)
 	if result.Request.Kind != KindCompletion {
 		return
 	}
 	r.tokens += result.Usage.CompletionTokens
-	record(r.first, result.FirstByte)
-	for _, gap := range result.Gaps {
+	record(r.first, result.TimeToFirstToken)
+	for _, gap := range result.InterTokenTimes {
 		record(r.between, gap)
 	}
 }
--- a/internal/load/reply.go
+++ b/internal/load/reply.go
@@ -56,10 +56,10 @@
 // checkUsage holds the usage against the answer. Its error wraps ErrDiffers.
 func (r *reply) checkUsage(want Expected) error {
 	if !r.hasUsage {
-		return errors.Wrap(ErrDiffers, "no usage")
+		return errors.Wrap(ErrMismatch, "no usage")
 	}
 	if r.usage.CompletionTokens != int64(want.Tokens) {
-		return errors.Wrapf(ErrDiffers, "usage says %d completion tokens instead of %d", r.usage.CompletionTokens, want.Tokens)
+		return errors.Wrapf(ErrMismatch, "usage says %d completion tokens instead of %d", r.usage.CompletionTokens, want.Tokens)
 	}
 	return nil
 }
@@ -68,7 +68,7 @@
 func (r *reply) readJSON(body []byte, check *answerCheck) error {
 	value, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return errors.Wrap(ErrDiffers, "the answer is no JSON")
+		return errors.Wrap(ErrMismatch, "the answer is no JSON")
 	}
 	if id := value.GetStringBytes("id"); len(id) > 0 {
 		r.requestID = string(id)
@@ -85,10 +85,10 @@
 func checkConfirm(body []byte, id string) error {
 	value, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return errors.Wrap(ErrDiffers, "the answer is no JSON")
+		return errors.Wrap(ErrMismatch, "the answer is no JSON")
 	}
 	if got := string(value.GetStringBytes("id")); got != id {
-		return errors.Wrapf(ErrDiffers, "the answer confirms %q instead of %q", got, id)
+		return errors.Wrapf(ErrMismatch, "the answer confirms %q instead of %q", got, id)
 	}
 	return nil
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -36,9 +36,9 @@
 	Tokens            int64          `json:"tokens"`
 	RequestsPerSecond float64        `json:"requests_per_second"`
 	TokensPerSecond   float64        `json:"tokens_per_second"`
-	FirstToken        Percentiles    `json:"time_to_first_token"`
-	BetweenTokens     Percentiles    `json:"between_tokens"`
-	Whole             Percentiles    `json:"whole"`
+	TimeToFirstToken  Percentiles    `json:"time_to_first_token"`
+	InterTokenTime    Percentiles    `json:"between_tokens"`
+	TotalTime         Percentiles    `json:"whole"`
 	StartLag          Percentiles    `json:"start_lag"` // open loop only
 	Faults            []Fault        `json:"faults"`
 }
@@ -66,8 +66,8 @@
 	// Differences of the targets' percentiles.
 	FirstTokenP50 float64 `json:"first_token_p50_ms"`
 	FirstTokenP99 float64 `json:"first_token_p99_ms"`
-	WholeP50      float64 `json:"whole_p50_ms"`
-	WholeP99      float64 `json:"whole_p99_ms"`
+	TotalTimeP50  float64 `json:"whole_p50_ms"`
+	TotalTimeP99  float64 `json:"whole_p99_ms"`
 	// Percentiles of the differences pair by pair.
 	PairP50 float64 `json:"pair_p50_ms"`
 	PairP99 float64 `json:"pair_p99_ms"`
@@ -90,8 +90,8 @@
 	return r.records[0].done
 }
 
-// Direct gives the logical requests of the second target, if there is one.
-func (r *Run) Direct() []Outcome {
+// DirectOutcomes gives the logical requests of the second target, if there is one.
+func (r *Run) DirectOutcomes() []Outcome {
 	if len(r.records) < 2 {
 		return nil
 	}
@@ -108,9 +108,9 @@
 		Tokens:            r.tokens,
 		RequestsPerSecond: float64(len(r.done)) / elapsed.Seconds(),
 		TokensPerSecond:   float64(r.tokens) / elapsed.Seconds(),
-		FirstToken:        percentilesOf(r.first),
-		BetweenTokens:     percentilesOf(r.between),
-		Whole:             percentilesOf(r.whole),
+		TimeToFirstToken:  percentilesOf(r.first),
+		InterTokenTime:    percentilesOf(r.between),
+		TotalTime:         percentilesOf(r.whole),
 		StartLag:          percentilesOf(r.lag),
 		Faults:            r.faults,
 	}
@@ -138,10 +138,10 @@
 	slices.Sort(differences)
 	return &PairedReport{
 		Pairs:         len(differences),
-		FirstTokenP50: first.FirstToken.P50 - second.FirstToken.P50,
-		FirstTokenP99: first.FirstToken.P99 - second.FirstToken.P99,
-		WholeP50:      first.Whole.P50 - second.Whole.P50,
-		WholeP99:      first.Whole.P99 - second.Whole.P99,
+		FirstTokenP50: first.TimeToFirstToken.P50 - second.TimeToFirstToken.P50,
+		FirstTokenP99: first.TimeToFirstToken.P99 - second.TimeToFirstToken.P99,
+		TotalTimeP50:  first.TotalTime.P50 - second.TotalTime.P50,
+		TotalTimeP99:  first.TotalTime.P99 - second.TotalTime.P99,
 		PairP50:       milliseconds(quantile(differences, 0.50)),
 		PairP99:       milliseconds(quantile(differences, 0.99)),
 	}
@@ -159,9 +159,9 @@
 	return float64(d) / float64(time.Millisecond)
 }
 
-// Broken counts what must be zero: answers lost, spliced or truncated, and what
+// Violations counts what must be zero: answers lost, spliced or truncated, and what
 // the reconciliation found.
-func (r *Report) Broken() int {
+func (r *Report) Violations() int {
 	count := 0
 	for _, target := range r.Targets {
 		count += target.Statuses[StatusLost] + target.Statuses[StatusSpliced] + target.Statuses[StatusTruncated]
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -25,11 +25,11 @@
 func (p Pace) validate() error {
 	switch {
 	case p.Requests <= 0 && p.Duration <= 0:
-		return errors.Wrap(ErrBadConfig, "give a number of requests or a duration")
+		return errors.Wrap(ErrInvalidConfig, "give a number of requests or a duration")
 	case p.Rate < 0:
-		return errors.Wrap(ErrBadConfig, "the rate must be positive")
+		return errors.Wrap(ErrInvalidConfig, "the rate must be positive")
 	case p.Rate == 0 && p.Concurrency < 1:
-		return errors.Wrap(ErrBadConfig, "give a rate or a concurrency")
+		return errors.Wrap(ErrInvalidConfig, "give a rate or a concurrency")
 	}
 	return nil
 }
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	if len(targets) < 1 || len(targets) > 2 {
-		return nil, errors.Wrap(ErrBadConfig, "one or two targets are needed")
+		return nil, errors.Wrap(ErrInvalidConfig, "one or two targets are needed")
 	}
 	runner := &Runner{workload: workload, pace: pace, targets: targets, pairs: &pairRecorder{}}
 	for range targets {
@@ -135,7 +135,7 @@
 		r.records[0].AddLag(lag)
 	}
 	if len(results) == 2 && results[0].Status == StatusOK && results[1].Status == StatusOK {
-		r.pairs.add(results[0].FirstByte - results[1].FirstByte)
+		r.pairs.add(results[0].TimeToFirstToken - results[1].TimeToFirstToken)
 	}
 }
 
--- a/internal/load/runner_test.go
+++ b/internal/load/runner_test.go
@@ -19,7 +19,7 @@
 			c := qt.New(t)
 			routers := []*fakeRouter{startRouter(c, answer{events: wholeEvents()}), startRouter(c, answer{events: wholeEvents()})}
 			workload, err := NewWorkload(WorkloadConfig{
-				RunID: "run", Accounts: 1, Model: "m", OutputMin: 5, OutputMax: 5, Stream: true, Answer: testAnswer,
+				RunID: "run", Accounts: 1, Model: "m", MinOutputTokens: 5, MaxOutputTokens: 5, Stream: true, Answer: testAnswer,
 			})
 			c.Assert(err, qt.IsNil)
 			var waits []time.Duration
@@ -37,11 +37,11 @@
 				c.Assert(unique, qt.HasLen, 30)
 			}
 			report := finished.Report()
-			c.Assert(report.Broken(), qt.Equals, 0)
+			c.Assert(report.Violations(), qt.Equals, 0)
 			c.Assert(report.Paired.Pairs, qt.Equals, 30)
-			c.Assert(report.Targets[0].BetweenTokens.Count, qt.Equals, int64(30*4))
+			c.Assert(report.Targets[0].InterTokenTime.Count, qt.Equals, int64(30*4))
 			c.Assert(finished.Outcomes(), qt.HasLen, 30)
-			c.Assert(finished.Direct(), qt.HasLen, 30)
+			c.Assert(finished.DirectOutcomes(), qt.HasLen, 30)
 			var table bytes.Buffer
 			c.Assert(report.WriteTable(&table), qt.IsNil)
 			c.Assert(table.String(), qt.Contains, "target routers: 30 requests")
@@ -53,12 +53,12 @@
 	c := qt.New(t)
 	recorder := NewRecorder()
 	for _, status := range []Status{StatusLost, StatusSpliced, StatusTruncated} {
-		recorder.Add(&Result{Status: status, Tries: 1, Err: ErrDiffers})
+		recorder.Add(&Result{Status: status, Tries: 1, Err: ErrMismatch})
 	}
 	recorder.Add(&Result{Status: StatusRefused, Tries: 3, Refusal: &Refusal{Cause: "overload", Outcome: "not_run", Status: 503}})
 	run := &Run{Elapsed: time.Second, targets: []Target{{Name: "routers"}}, records: []*Recorder{recorder}}
 	report := run.Report()
-	c.Assert(report.Broken(), qt.Equals, 3)
+	c.Assert(report.Violations(), qt.Equals, 3)
 	c.Assert(report.Targets[0].Retries, qt.Equals, 2)
 	c.Assert(report.Targets[0].Refusals, qt.DeepEquals, []RefusalCount{{"overload", "not_run", 503, 1}})
 }
--- a/internal/load/sse.go
+++ b/internal/load/sse.go
@@ -65,7 +65,7 @@
 	for {
 		data, err := s.events.next()
 		if err != nil {
-			return errors.Wrapf(ErrBroken, "after %d bytes: %v", check.position, err)
+			return errors.Wrapf(ErrInterrupted, "after %d bytes: %v", check.position, err)
 		}
 		if bytes.Equal(data, doneData) {
 			break
@@ -76,7 +76,7 @@
 	}
 	// The body's end is read too, so that the connection can be used again.
 	if _, err := s.events.next(); err == nil {
-		return errors.Wrap(ErrDiffers, "an event follows [DONE]")
+		return errors.Wrap(ErrMismatch, "an event follows [DONE]")
 	}
 	return check.finish(reply.finish)
 }
@@ -85,7 +85,7 @@
 func (s *streamReader) chunk(data []byte, check *answerCheck, reply *reply) error {
 	value, err := s.parser.ParseBytes(data)
 	if err != nil {
-		return errors.Wrap(ErrDiffers, "a chunk is no JSON")
+		return errors.Wrap(ErrMismatch, "a chunk is no JSON")
 	}
 	if value.Exists("error") {
 		return refusalOf(value, reply.status, 0)
--- a/internal/load/sse_test.go
+++ b/internal/load/sse_test.go
@@ -18,7 +18,7 @@
 }
 
 func wanted() Expected {
-	return Expected{Text: strings.Join(testTokens, ""), Finish: "stop", Tokens: len(testTokens)}
+	return Expected{Text: strings.Join(testTokens, ""), FinishReason: "stop", Tokens: len(testTokens)}
 }
 
 func TestEventReader(t *testing.T) {
@@ -66,7 +66,7 @@
 	}
 	events = append(events, endChunk("stop", tokens), "[DONE]")
 	stream := []byte(streamOf(events))
-	want := Expected{Text: strings.Repeat(token, tokens), Finish: "stop", Tokens: tokens}
+	want := Expected{Text: strings.Repeat(token, tokens), FinishReason: "stop", Tokens: tokens}
 	reader := &streamReader{events: newEventReader()}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -45,9 +45,9 @@
 
 func writeLatencies(w io.Writer, t *TargetReport) {
 	fmt.Fprintln(w, "ms\tcount\tp50\tp95\tp99\tmax")
-	writePercentiles(w, "time to first token", t.FirstToken)
-	writePercentiles(w, "between tokens", t.BetweenTokens)
-	writePercentiles(w, "whole", t.Whole)
+	writePercentiles(w, "time to first token", t.TimeToFirstToken)
+	writePercentiles(w, "between tokens", t.InterTokenTime)
+	writePercentiles(w, "whole", t.TotalTime)
 	if t.StartLag.Count > 0 {
 		writePercentiles(w, "start lag", t.StartLag)
 	}
@@ -63,18 +63,18 @@
 	fmt.Fprintln(w, "ms\tp50\tp99")
 	fmt.Fprintf(w, "time to first token, difference of percentiles\t%.3f\t%.3f\n", p.FirstTokenP50, p.FirstTokenP99)
 	fmt.Fprintf(w, "time to first token, pair by pair\t%.3f\t%.3f\n", p.PairP50, p.PairP99)
-	fmt.Fprintf(w, "whole, difference of percentiles\t%.3f\t%.3f\n\n", p.WholeP50, p.WholeP99)
+	fmt.Fprintf(w, "whole, difference of percentiles\t%.3f\t%.3f\n\n", p.TotalTimeP50, p.TotalTimeP99)
 }
 
 func writeReconciliation(w io.Writer, r *Reconciliation) {
 	fmt.Fprintf(w, "checked against: %s\n\n", strings.Join(r.CheckedAgainst, ", "))
-	fmt.Fprintf(w, "untrue refusals\t%d\n", r.UntrueRefusals)
+	fmt.Fprintf(w, "untrue refusals\t%d\n", r.FalseNotRun)
 	fmt.Fprintf(w, "runs that no try explains\t%d\n", r.UnexplainedRuns)
 	fmt.Fprintf(w, "duplicate runs of non-idempotent calls\t%d\n", r.DuplicateRuns)
-	fmt.Fprintf(w, "confirmed calls that never ran\t%d\n", r.ConfirmedNotRun)
-	fmt.Fprintf(w, "tokens answered and not granted\t%d\n", r.Ungranted)
-	fmt.Fprintf(w, "overspend, tokens\t%d\n", r.Overspend)
-	fmt.Fprintf(w, "false refusals for lack of budget\t%d\n\n", r.FalseRefusals)
+	fmt.Fprintf(w, "confirmed calls that never ran\t%d\n", r.ConfirmedWithoutRun)
+	fmt.Fprintf(w, "tokens answered and not granted\t%d\n", r.UngrantedTokens)
+	fmt.Fprintf(w, "overspend, tokens\t%d\n", r.OverspentTokens)
+	fmt.Fprintf(w, "false refusals for lack of budget\t%d\n\n", r.FalseBudgetRefusals)
 	for _, example := range r.Examples {
 		fmt.Fprintf(w, "example: %s\n", example)
 	}
--- a/internal/load/workload.go
+++ b/internal/load/workload.go
@@ -29,16 +29,16 @@
 // WorkloadConfig fixes a workload. The same values give the same requests,
 // but for their idempotency keys, which start with RunID.
 type WorkloadConfig struct {
-	Seed         uint64
-	RunID        string
-	Accounts     int
-	Model        string
-	PromptBytes  int
-	OutputMin    int // tokens
-	OutputMax    int // tokens
-	Stream       bool
-	Service      string
-	ServiceShare float64 // 0..1, the part of requests that are confirm calls
+	Seed            uint64
+	RunID           string
+	Accounts        int
+	Model           string
+	PromptBytes     int
+	MinOutputTokens int // tokens
+	MaxOutputTokens int // tokens
+	Stream          bool
+	Service         string
+	ServiceShare    float64 // 0..1, the part of requests that are confirm calls
 	// UnkeyedShare is the part of the completions that are sent without an idempotency
 	// key, 0..1: each try of those is a request of its own.
 	UnkeyedShare float64
@@ -59,9 +59,9 @@
 
 // Expected is the answer that a completion must get.
 type Expected struct {
-	Text   string
-	Finish string
-	Tokens int
+	Text         string
+	FinishReason string
+	Tokens       int
 }
 
 // Workload makes the requests of a run. It is safe for concurrent use.
@@ -73,15 +73,15 @@
 func NewWorkload(cfg WorkloadConfig) (*Workload, error) {
 	switch {
 	case cfg.Accounts < 1:
-		return nil, errors.Wrap(ErrBadConfig, "at least one key is needed")
-	case cfg.OutputMin < 1 || cfg.OutputMax < cfg.OutputMin:
-		return nil, errors.Wrap(ErrBadConfig, "output tokens must be N or MIN-MAX with 1 <= MIN <= MAX")
+		return nil, errors.Wrap(ErrInvalidConfig, "at least one key is needed")
+	case cfg.MinOutputTokens < 1 || cfg.MaxOutputTokens < cfg.MinOutputTokens:
+		return nil, errors.Wrap(ErrInvalidConfig, "output tokens must be N or MIN-MAX with 1 <= MIN <= MAX")
 	case cfg.ServiceShare < 0 || cfg.ServiceShare > 1:
-		return nil, errors.Wrap(ErrBadConfig, "the service share must be in 0..1")
+		return nil, errors.Wrap(ErrInvalidConfig, "the service share must be in 0..1")
 	case cfg.ServiceShare > 0 && cfg.Service == "":
-		return nil, errors.Wrap(ErrBadConfig, "a service share needs the service's name")
+		return nil, errors.Wrap(ErrInvalidConfig, "a service share needs the service's name")
 	case cfg.Answer == nil:
-		return nil, errors.Wrap(ErrBadConfig, "no answer function")
+		return nil, errors.Wrap(ErrInvalidConfig, "no answer function")
 	}
 	return &Workload{cfg: cfg}, nil
 }
@@ -122,7 +122,7 @@
 }
 
 func (w *Workload) fillCompletion(req *Request, random *rand.Rand) {
-	length := w.cfg.OutputMin + random.IntN(w.cfg.OutputMax-w.cfg.OutputMin+1)
+	length := w.cfg.MinOutputTokens + random.IntN(w.cfg.MaxOutputTokens-w.cfg.MinOutputTokens+1)
 	body := chatBody{
 		Model:     w.cfg.Model,
 		Messages:  []chatMessage{{Role: "user", Content: prompt(random, req.Index, length, w.cfg.PromptBytes)}},
@@ -136,7 +136,7 @@
 	req.Path = "/v1/chat/completions"
 	req.Body = mustMarshal(body)
 	tokens, finish := w.cfg.Answer(w.cfg.Model, req.Body, length)
-	req.Want = Expected{Text: strings.Join(tokens, ""), Finish: finish, Tokens: len(tokens)}
+	req.Want = Expected{Text: strings.Join(tokens, ""), FinishReason: finish, Tokens: len(tokens)}
 }
 
 // confirmBody is the body of a confirm call and part of its answer. The id is the
--- a/internal/load/workload_test.go
+++ b/internal/load/workload_test.go
@@ -9,7 +9,7 @@
 func TestWorkloadIsFixedByItsSeed(t *testing.T) {
 	c := qt.New(t)
 	cfg := WorkloadConfig{
-		Seed: 7, RunID: "a", Accounts: 3, Model: "m", PromptBytes: 80, OutputMin: 4, OutputMax: 9,
+		Seed: 7, RunID: "a", Accounts: 3, Model: "m", PromptBytes: 80, MinOutputTokens: 4, MaxOutputTokens: 9,
 		Stream: true, Service: "register", ServiceShare: 0.25, Answer: testAnswer,
 	}
 	first, err := NewWorkload(cfg)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -119,7 +119,7 @@
 func (f *fleet) runner(pace load.Pace, seed uint64) (*load.Runner, error) {
 	workload, err := load.NewWorkload(load.WorkloadConfig{
 		Seed: seed, RunID: fmt.Sprintf("soak-%d-%d", seed, time.Now().UnixNano()), Accounts: accounts, Model: model,
-		PromptBytes: 200, OutputMin: 5, OutputMax: 120, Stream: true, Service: service, ServiceShare: 0.2,
+		PromptBytes: 200, MinOutputTokens: 5, MaxOutputTokens: 120, Stream: true, Service: service, ServiceShare: 0.2,
 		UnkeyedShare: 0.5, Answer: enginestub.Answer,
 	})
 	if err != nil {
@@ -206,7 +206,7 @@
 	if statuses[load.StatusOK] == 0 {
 		broken = append(broken, "nothing was served")
 	}
-	evidence, err := load.NewClient(nil).Gather(load.Sources{Services: []string{f.callsAt}})
+	evidence, err := load.NewClient(nil).GatherEvidence(load.Sources{Services: []string{f.callsAt}})
 	if err != nil {
 		return nil, err
 	}
