--- a/internal/store/transfer_test.go
+++ b/internal/store/transfer_test.go
@@ -22,7 +22,7 @@
 	bytesPerSecond int
 
 	mu        sync.Mutex
-	down      bool
+	linkDown  bool
 	stalls    int // how many answers, from the next one on, stop halfway
 	transfers int // answers being transmitted
 }
@@ -30,16 +30,16 @@
 // transferStep is the interval at which the bandwidth is divided among the answers.
 const transferStep = 10 * time.Millisecond
 
-func (l *slowLink) setDown(down bool) {
+func (l *slowLink) setLinkDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.down = down
+	l.linkDown = down
 }
 
-func (l *slowLink) isDown() bool {
+func (l *slowLink) isLinkDown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.down
+	return l.linkDown
 }
 
 // nextStalls reports whether the next answer stops halfway, and counts it.
@@ -60,7 +60,7 @@
 
 // transmit transmits an answer of size bytes. It returns false if the call ends first.
 func (l *slowLink) transmit(ctx context.Context, size int) bool {
-	if l.isDown() {
+	if l.isLinkDown() {
 		<-ctx.Done()
 		return false
 	}
@@ -132,14 +132,14 @@
 	var wg conc.WaitGroup
 	wg.Go(func() { f.Run(ctx) })
 	time.Sleep(3 * time.Second)
-	link.setDown(true)
+	link.setLinkDown(true)
 	time.Sleep(5 * time.Second)
 	large := strings.Repeat("r", size)
 	link.Put("a/x", []byte(large))
 	link.mu.Lock()
 	link.stalls = stalls
 	link.mu.Unlock()
-	link.setDown(false)
+	link.setLinkDown(false)
 	reconnected := time.Now()
 	for sink.get() != large && time.Since(reconnected) < time.Minute {
 		time.Sleep(transferStep)
@@ -186,10 +186,10 @@
 		var wg conc.WaitGroup
 		wg.Go(func() { f.Run(ctx) })
 		time.Sleep(20 * time.Second)
-		link.setDown(true)
+		link.setLinkDown(true)
 		time.Sleep(5 * time.Second)
 		link.Put("a/x", []byte("changed"))
-		link.setDown(false)
+		link.setLinkDown(false)
 		time.Sleep(1500 * time.Millisecond)
 		qt.Check(t, sink.get(), qt.Equals, "changed")
 		cancel()
