--- a/internal/timeline/budgets.go
+++ b/internal/timeline/budgets.go
@@ -13,73 +13,73 @@
 	"chicorytiller.example/chicorytiller/internal/event"
 )
 
-// budgetCauses begin the causes of refusals for want of tokens.
-const budgetCauses = "budget_"
+// budgetCausePrefix is the prefix of the causes of refusals for lack of tokens.
+const budgetCausePrefix = "budget_"
 
-// budgetUse is what the lines tell of one account's tokens.
-type budgetUse struct {
-	// used is what its requests paid for.
+// budgetSummary summarizes the events of one account's tokens.
+type budgetSummary struct {
+	// used is the tokens that its requests were charged for.
 	used int64
-	// closed counts the grants of routers that died. judged is what counts as used of them,
-	// reported what they had said they used.
-	closed           int
-	judged, reported int64
-	refused          map[string]int // requests, by cause
+	// closedGrants counts the closed grants of dead routers. assumedSpent is the part of them
+	// that counts as spent, reportedSpent what the routers had reported as spent.
+	closedGrants                int
+	assumedSpent, reportedSpent int64
+	refused                     map[string]int // requests by cause
 }
 
-// WriteBudgets writes a row a client account: the tokens that its requests paid for, what the
-// deaths of routers put in doubt, and the requests refused for want of tokens.
+// WriteBudgets writes one row per client account: the tokens that its requests were charged
+// for, the tokens in doubt after router crashes, and the requests refused for lack of tokens.
 func WriteBudgets(w io.Writer, lines []Line) error {
-	uses := usesOf(lines)
+	budgets := summarizeBudgets(lines)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "ACCOUNT\tUSED\tGRANTS CLOSED\tJUDGED\tREPORTED\tIN DOUBT\tREFUSED")
-	for _, account := range slices.Sorted(maps.Keys(uses)) {
-		u := uses[account]
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%s\n", account, u.used, u.closed, u.judged, u.reported, u.judged-u.reported, refusedText(u.refused))
+	for _, account := range slices.Sorted(maps.Keys(budgets)) {
+		b := budgets[account]
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%s\n", account, b.used, b.closedGrants, b.assumedSpent, b.reportedSpent, b.assumedSpent-b.reportedSpent, formatRefused(b.refused))
 	}
 	return errors.Wrap(table.Flush(), "timeline: writing")
 }
 
-func usesOf(lines []Line) map[string]*budgetUse {
-	uses := make(map[string]*budgetUse)
-	of := func(account string) *budgetUse {
-		if uses[account] == nil {
-			uses[account] = &budgetUse{refused: make(map[string]int)}
+func summarizeBudgets(lines []Line) map[string]*budgetSummary {
+	budgets := make(map[string]*budgetSummary)
+	summary := func(account string) *budgetSummary {
+		if budgets[account] == nil {
+			budgets[account] = &budgetSummary{refused: make(map[string]int)}
 		}
-		return uses[account]
+		return budgets[account]
 	}
 	for i := range lines {
 		line := &lines[i]
 		account, cause := line.Attr(event.KeyAccount), line.Attr(event.KeyCause)
 		switch line.Number {
 		case event.RequestServed, event.RequestAbandoned, event.ResponseAborted:
-			if tokens, known := number(line, event.KeyTokens); known && account != "" {
-				of(account).used += tokens
+			if tokens, ok := intAttr(line, event.KeyTokens); ok && account != "" {
+				summary(account).used += tokens
 			}
 		case event.RequestRefused:
-			if strings.HasPrefix(cause, budgetCauses) && account != "" {
-				of(account).refused[cause]++
+			if strings.HasPrefix(cause, budgetCausePrefix) && account != "" {
+				summary(account).refused[cause]++
 			}
 		case event.GrantClosed:
-			u := of(line.Attr(event.KeyBudget))
-			judged, _ := number(line, "judged")
-			reported, _ := number(line, "spent")
-			u.closed++
-			u.judged += judged
-			u.reported += reported
+			b := summary(line.Attr(event.KeyBudget))
+			assumed, _ := intAttr(line, "judged")
+			reported, _ := intAttr(line, "spent")
+			b.closedGrants++
+			b.assumedSpent += assumed
+			b.reportedSpent += reported
 		}
 	}
-	return uses
+	return budgets
 }
 
-// refusedText lists causes with their requests, or gives a dash.
-func refusedText(refused map[string]int) string {
+// formatRefused returns the number of requests of each cause, or a dash if there are none.
+func formatRefused(refused map[string]int) string {
 	if len(refused) == 0 {
 		return "-"
 	}
 	var texts []string
 	for _, cause := range slices.Sorted(maps.Keys(refused)) {
-		texts = append(texts, fmt.Sprintf("%s=%d", strings.TrimPrefix(cause, budgetCauses), refused[cause]))
+		texts = append(texts, fmt.Sprintf("%s=%d", strings.TrimPrefix(cause, budgetCausePrefix), refused[cause]))
 	}
 	return strings.Join(texts, " ")
 }
--- a/internal/timeline/filter.go
+++ b/internal/timeline/filter.go
@@ -8,14 +8,14 @@
 	"chicorytiller.example/chicorytiller/internal/event"
 )
 
-// Filter chooses lines. Each zero field lets everything through; a line must pass
-// all others.
+// Filter selects lines. A zero field matches all lines; a line must match all other fields.
 type Filter struct {
-	// Request is the id of a request or of one of its attempts. It chooses all
-	// lines of the request and of all its attempts.
+	// Request is the ID of a request or of one of its attempts. It matches all lines of the
+	// request and of all its attempts.
 	Request string
 	Account string
-	// Router is "vm@incarnation" or "vm": lines that the router wrote or that name it.
+	// Router is "vm@incarnation" or "vm". It matches lines that the router wrote or that
+	// name it.
 	Router  string
 	Backend string
 	Cause   string
@@ -24,21 +24,21 @@
 	Until   time.Time // exclusive
 }
 
-// Apply gives the lines that pass, in their order.
+// Apply returns the matching lines in their order.
 func (f Filter) Apply(lines []Line) []Line {
-	family := familyOf(lines, f.Request)
-	var chosen []Line
+	ids := relatedIDs(lines, f.Request)
+	var selected []Line
 	for i := range lines {
-		if f.passes(&lines[i], family) {
-			chosen = append(chosen, lines[i])
+		if f.matches(&lines[i], ids) {
+			selected = append(selected, lines[i])
 		}
 	}
-	return chosen
+	return selected
 }
 
-func (f Filter) passes(line *Line, family map[string]bool) bool {
+func (f Filter) matches(line *Line, ids map[string]bool) bool {
 	switch {
-	case f.Request != "" && !family[line.Attr(event.KeyRequest)] && !family[line.Attr(event.KeyAttempt)]:
+	case f.Request != "" && !ids[line.Attr(event.KeyRequest)] && !ids[line.Attr(event.KeyAttempt)]:
 		return false
 	case f.Account != "" && line.Attr(event.KeyAccount) != f.Account:
 		return false
@@ -46,7 +46,7 @@
 		return false
 	case f.Cause != "" && line.Attr(event.KeyCause) != f.Cause:
 		return false
-	case f.Router != "" && !isRouter(line.Process, f.Router) && !isRouter(line.Attr(event.KeyRouter), f.Router):
+	case f.Router != "" && !matchesRouter(line.Process, f.Router) && !matchesRouter(line.Attr(event.KeyRouter), f.Router):
 		return false
 	case len(f.Events) > 0 && !slices.Contains(f.Events, line.Number):
 		return false
@@ -56,26 +56,26 @@
 	return f.Until.IsZero() || line.Time.Before(f.Until)
 }
 
-func isRouter(name, wanted string) bool {
-	return name == wanted || strings.HasPrefix(name, wanted+"@")
+func matchesRouter(name, router string) bool {
+	return name == router || strings.HasPrefix(name, router+"@")
 }
 
-// familyOf gives the ids of a request and of its attempts. Some lines, such as
-// those of an engine, name only the attempt.
-func familyOf(lines []Line, id string) map[string]bool {
+// relatedIDs returns the IDs of the request with the given request or attempt ID and of its
+// attempts. Some lines, such as those of an engine, name only the attempt.
+func relatedIDs(lines []Line, id string) map[string]bool {
 	if id == "" {
 		return nil
 	}
-	family := map[string]bool{id: true}
+	ids := map[string]bool{id: true}
 	for i := range lines {
 		if request := lines[i].Attr(event.KeyRequest); request != "" && lines[i].Attr(event.KeyAttempt) == id {
-			family[request] = true
+			ids[request] = true
 		}
 	}
 	for i := range lines {
-		if attempt := lines[i].Attr(event.KeyAttempt); attempt != "" && family[lines[i].Attr(event.KeyRequest)] {
-			family[attempt] = true
+		if attempt := lines[i].Attr(event.KeyAttempt); attempt != "" && ids[lines[i].Attr(event.KeyRequest)] {
+			ids[attempt] = true
 		}
 	}
-	return family
+	return ids
 }
--- a/internal/timeline/line.go
+++ b/internal/timeline/line.go
@@ -1,5 +1,5 @@
-// Package timeline merges the event logs of many processes into one time line
-// in causal order, and filters it.
+// Package timeline merges the event logs of many processes into one timeline in causal
+// order, filters it and summarizes it.
 package timeline
 
 import (
@@ -23,17 +23,17 @@
 	Process string
 	Seq     uint64
 	Clock   uint64
-	Attrs   []Attr // those of the event itself, in the log's order
-	Raw     []byte // the line as the log has it
+	Attrs   []Attr // attributes specific to the event, in the order of the log
+	Raw     []byte // the line as it is in the log
 }
 
-// Attr is one attribute. Its value is a JSON value's text, strings unquoted.
+// Attr is one attribute. Its value is the text of a JSON value; strings are unquoted.
 type Attr struct {
 	Key   string
 	Value string
 }
 
-// Attr gives an attribute's value, or "".
+// Attr returns the value of an attribute, or "" if the line does not have it.
 func (l *Line) Attr(key string) string {
 	for _, attr := range l.Attrs {
 		if attr.Key == key {
@@ -54,14 +54,14 @@
 		return Line{}, errors.Wrap(ErrMalformedLine, err.Error())
 	}
 	line := Line{Raw: append([]byte(nil), data...)}
-	var faults error
+	var fieldErr error
 	object.Visit(func(key []byte, field *fastjson.Value) {
-		if err := line.take(string(key), field); err != nil && faults == nil {
-			faults = errors.Wrapf(ErrMalformedLine, "%s: %v", key, err)
+		if err := line.setField(string(key), field); err != nil && fieldErr == nil {
+			fieldErr = errors.Wrapf(ErrMalformedLine, "%s: %v", key, err)
 		}
 	})
-	if faults != nil {
-		return Line{}, faults
+	if fieldErr != nil {
+		return Line{}, fieldErr
 	}
 	if line.Time.IsZero() || line.Number == 0 || line.Process == "" || line.Seq == 0 || line.Clock == 0 {
 		return Line{}, errors.Wrap(ErrMalformedLine, "a required field is missing")
@@ -69,8 +69,8 @@
 	return line, nil
 }
 
-// take stores one field of the JSON object.
-func (l *Line) take(key string, field *fastjson.Value) (err error) {
+// setField stores one field of the JSON object.
+func (l *Line) setField(key string, field *fastjson.Value) (err error) {
 	switch key {
 	case "time":
 		l.Time, err = time.Parse(time.RFC3339Nano, string(field.GetStringBytes()))
@@ -89,12 +89,12 @@
 	case event.KeyClock:
 		l.Clock, err = field.Uint64()
 	default:
-		l.Attrs = append(l.Attrs, Attr{Key: key, Value: textOf(field)})
+		l.Attrs = append(l.Attrs, Attr{Key: key, Value: valueText(field)})
 	}
 	return err
 }
 
-func textOf(value *fastjson.Value) string {
+func valueText(value *fastjson.Value) string {
 	if value.Type() == fastjson.TypeString {
 		return string(value.GetStringBytes())
 	}
--- a/internal/timeline/merge.go
+++ b/internal/timeline/merge.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// Merge orders the lines of all processes. Within a process the order is that of
-// seq. Between processes it is that of the Lamport clocks, so that a cause comes
-// before its effect however wrong the wall clocks are; lines of which neither can
-// have caused the other go by wall clock, then by process.
+// Merge orders the lines of all processes. Lines of one process are ordered by seq.
+// Lines of different processes are ordered by Lamport clock, so that a cause precedes
+// its effect however wrong the wall clocks are. Lines with equal Lamport clocks, of which
+// neither can have caused the other, are ordered by wall clock, then by process.
 //
-// It merges the processes' queues by their heads rather than sorting all lines: a
-// log whose clock steps back, as a damaged one may, then still keeps its seq order.
+// Merge does a k-way merge of the processes' queues instead of sorting all lines, so that a
+// log whose Lamport clock goes backwards, as in a damaged file, keeps its seq order.
 func Merge(lines []Line) []Line {
-	queues := queuesOf(lines)
+	queues := groupByProcess(lines)
 	heap.Init(&queues)
 	merged := make([]Line, 0, len(lines))
 	for len(queues) > 0 {
@@ -30,7 +30,7 @@
 	return merged
 }
 
-func queuesOf(lines []Line) processQueues {
+func groupByProcess(lines []Line) processQueues {
 	byProcess := map[string][]Line{}
 	for _, line := range lines {
 		byProcess[line.Process] = append(byProcess[line.Process], line)
@@ -43,7 +43,7 @@
 	return queues
 }
 
-// processQueues is a heap of non-empty queues, least head first.
+// processQueues is a heap of non-empty queues, ordered by their first lines.
 type processQueues [][]Line
 
 // Len implements heap.Interface.
--- a/internal/timeline/read.go
+++ b/internal/timeline/read.go
@@ -20,12 +20,12 @@
 // Read adds the lines of one log. Malformed lines are counted and cause no error, because
 // the log of a killed process often ends within a line. Read returns errors of r.
 func (l *Log) Read(r io.Reader) error {
-	lines := bufio.NewReaderSize(r, MaxLineBytes)
+	reader := bufio.NewReaderSize(r, MaxLineBytes)
 	for {
-		data, err := lines.ReadSlice('\n')
+		data, err := reader.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
 			l.MalformedLines++
-			err = skipLine(lines)
+			err = skipLine(reader)
 		} else {
 			l.add(data)
 		}
@@ -51,10 +51,10 @@
 	l.Lines = append(l.Lines, line)
 }
 
-// skipLine reads past the rest of a line that is too long.
-func skipLine(lines *bufio.Reader) error {
+// skipLine skips the rest of a line that is too long.
+func skipLine(reader *bufio.Reader) error {
 	for {
-		_, err := lines.ReadSlice('\n')
+		_, err := reader.ReadSlice('\n')
 		if err != bufio.ErrBufferFull {
 			return err
 		}
--- a/internal/timeline/reports_test.go
+++ b/internal/timeline/reports_test.go
@@ -13,8 +13,8 @@
 	"chicorytiller.example/chicorytiller/internal/event"
 )
 
-// fields are a line's cells of a table.
-func fields(c *qt.C, write func(io.Writer, []Line) error, lines []Line, first string) []string {
+// tableRow returns the words of the table row that begins with first.
+func tableRow(c *qt.C, write func(io.Writer, []Line) error, lines []Line, first string) []string {
 	var out bytes.Buffer
 	c.Assert(write(&out, lines), qt.IsNil)
 	for _, row := range strings.Split(out.String(), "\n") {
@@ -26,7 +26,7 @@
 	return nil
 }
 
-func TestRequestsAreSummedUpByRouteAndStage(t *testing.T) {
+func TestWriteRequestsByRouteAndStage(t *testing.T) {
 	c := qt.New(t)
 	log := newLog("a@1", 0)
 	for i := range 10 {
@@ -36,24 +36,24 @@
 	log.Emit(event.ResponseAborted, slog.String("route", "draft"), slog.Int("ms", 7))
 	log.Emit(event.RequestAbandoned, slog.String("route", "other"))
 	lines := read(c, log.out.String()).Lines
-	c.Assert(fields(c, WriteRequests, lines, "draft"), qt.DeepEquals,
+	c.Assert(tableRow(c, WriteRequests, lines, "draft"), qt.DeepEquals,
 		strings.Fields("draft 10 0 1 50 / 90 / 90 50 / 90 / 90 150 / 270 / 270 5 / 9 / 9 500 / 900 / 900"))
-	c.Assert(fields(c, WriteRequests, lines, "other"), qt.DeepEquals, strings.Fields("other 0 1 0 - - - - -"))
+	c.Assert(tableRow(c, WriteRequests, lines, "other"), qt.DeepEquals, strings.Fields("other 0 1 0 - - - - -"))
 }
 
-// Guards against a span of refusals that ends before it begins, where clocks differ.
-func TestRefusalsAreSummedUpByCause(t *testing.T) {
+// Guards against a last refusal earlier than the first if the clocks of routers differ.
+func TestWriteRequestsRefusalsByCause(t *testing.T) {
 	c := qt.New(t)
 	ahead, behind := newLog("a@1", 0), newLog("b@1", -time.Hour)
 	ahead.Emit(event.RequestRefused, slog.String(event.KeyCause, "no_backend"), slog.Int("ms", 3))
 	behind.Observe(ahead.Tick())
 	behind.Emit(event.RequestRefused, slog.String(event.KeyCause, "no_backend"), slog.Int("ms", 5))
-	row := fields(c, WriteRequests, Merge(read(c, ahead.out.String(), behind.out.String()).Lines), "no_backend")
+	row := tableRow(c, WriteRequests, Merge(read(c, ahead.out.String(), behind.out.String()).Lines), "no_backend")
 	c.Assert(row[1], qt.Equals, "2")
 	c.Assert(row[2] < row[3], qt.IsTrue, qt.Commentf("%v", row))
 }
 
-func TestBudgetsAreSummedUpByAccount(t *testing.T) {
+func TestWriteBudgetsByAccount(t *testing.T) {
 	c := qt.New(t)
 	log := newLog("a@1", 0)
 	account := slog.String(event.KeyAccount, "boatyard")
@@ -66,5 +66,5 @@
 	}
 	log.Emit(event.RequestRefused, account, slog.String(event.KeyCause, "no_backend"))
 	lines := read(c, log.out.String()).Lines
-	c.Assert(fields(c, WriteBudgets, lines, "boatyard"), qt.DeepEquals, strings.Fields("boatyard 750 1 900 600 300 in_doubt=2"))
+	c.Assert(tableRow(c, WriteBudgets, lines, "boatyard"), qt.DeepEquals, strings.Fields("boatyard 750 1 900 600 300 in_doubt=2"))
 }
--- a/internal/timeline/requests.go
+++ b/internal/timeline/requests.go
@@ -15,39 +15,39 @@
 	"chicorytiller.example/chicorytiller/internal/event"
 )
 
-// stage is a part of a request's time, in milliseconds.
+// stage is a part of the duration of a request, in milliseconds.
 type stage struct {
-	title string
-	of    func(*Line) (ms int64, known bool)
+	title    string
+	duration func(*Line) (ms int64, ok bool)
 }
 
-// stages are in the order in which a request goes through them. Dispatch is what is left of
-// the time to the first byte: the choice of servers, connections and attempts that failed.
+// stages are in the order in which a request passes through them. DISPATCH is the rest of the
+// time to the first byte: selecting servers, connecting, and failed attempts.
 var stages = []stage{
-	{"BUDGET", attrMillis("reserved_ms")},
+	{"BUDGET", millisAttr("reserved_ms")},
 	{"DISPATCH", func(l *Line) (int64, bool) {
-		first, known := number(l, "first_ms")
-		reserved, _ := number(l, "reserved_ms")
-		server, _ := number(l, "server_ms")
-		return max(0, first-reserved-server), known
+		first, ok := intAttr(l, "first_ms")
+		reserved, _ := intAttr(l, "reserved_ms")
+		server, _ := intAttr(l, "server_ms")
+		return max(0, first-reserved-server), ok
 	}},
-	{"SERVER", attrMillis("server_ms")},
-	{"LONGEST PAUSE", attrMillis("pause_ms")},
-	{"WHOLE", attrMillis("ms")},
+	{"SERVER", millisAttr("server_ms")},
+	{"LONGEST PAUSE", millisAttr("pause_ms")},
+	{"WHOLE", millisAttr("ms")},
 }
 
-func attrMillis(key string) func(*Line) (int64, bool) {
-	return func(l *Line) (int64, bool) { return number(l, key) }
+func millisAttr(key string) func(*Line) (int64, bool) {
+	return func(l *Line) (int64, bool) { return intAttr(l, key) }
 }
 
-// number is an attribute's whole number; it is unknown if the line has none.
-func number(l *Line, key string) (int64, bool) {
+// intAttr returns the value of an integer attribute, and whether the line has it.
+func intAttr(l *Line, key string) (int64, bool) {
 	n, err := strconv.ParseInt(l.Attr(key), 10, 64)
 	return n, err == nil
 }
 
-// WriteRequests writes where the time of answered requests went, by route, and when and why
-// requests were refused.
+// WriteRequests writes the durations of the stages of answered requests by route, and when
+// and why requests were refused.
 func WriteRequests(w io.Writer, lines []Line) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	writeStages(table, lines)
@@ -56,70 +56,72 @@
 	return errors.Wrap(table.Flush(), "timeline: writing")
 }
 
-// writeStages writes a row a route: median, 90th and 99th percentile of each stage.
+// writeStages writes one row per route: median, 90th and 99th percentile of each stage.
 func writeStages(w io.Writer, lines []Line) {
-	byRoute := make(map[string][]*Line)
-	ended := make(map[string]map[event.Number]int)
+	served := make(map[string][]*Line)
+	countsByRoute := make(map[string]map[event.Number]int)
 	for i := range lines {
 		line := &lines[i]
 		route := line.Attr("route")
 		switch line.Number {
 		case event.RequestServed:
-			byRoute[route] = append(byRoute[route], line)
+			served[route] = append(served[route], line)
 		case event.RequestAbandoned, event.ResponseAborted:
 		default:
 			continue
 		}
-		if ended[route] == nil {
-			ended[route] = make(map[event.Number]int)
+		if countsByRoute[route] == nil {
+			countsByRoute[route] = make(map[event.Number]int)
 		}
-		ended[route][line.Number]++
+		countsByRoute[route][line.Number]++
 	}
 	fmt.Fprint(w, "ROUTE\tANSWERED\tABANDONED\tCUT")
 	for _, s := range stages {
 		fmt.Fprintf(w, "\t%s MS", s.title)
 	}
 	fmt.Fprintln(w)
-	for _, route := range slices.Sorted(maps.Keys(ended)) {
-		counts := ended[route]
+	for _, route := range slices.Sorted(maps.Keys(countsByRoute)) {
+		counts := countsByRoute[route]
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d", route, counts[event.RequestServed], counts[event.RequestAbandoned], counts[event.ResponseAborted])
 		for _, s := range stages {
-			fmt.Fprintf(w, "\t%s", percentiles(s, byRoute[route]))
+			fmt.Fprintf(w, "\t%s", stagePercentiles(s, served[route]))
 		}
 		fmt.Fprintln(w)
 	}
 }
 
-// percentiles are the median, 90th and 99th percentile of a stage, or a dash.
-func percentiles(s stage, lines []*Line) string {
+// stagePercentiles returns the median, 90th and 99th percentile of a stage, or a dash if no
+// line has it.
+func stagePercentiles(s stage, lines []*Line) string {
 	var values []int64
 	for _, line := range lines {
-		if ms, known := s.of(line); known {
+		if ms, ok := s.duration(line); ok {
 			values = append(values, ms)
 		}
 	}
-	return percentilesOf(values)
+	return formatPercentiles(values)
 }
 
-func percentilesOf(values []int64) string {
+func formatPercentiles(values []int64) string {
 	if len(values) == 0 {
 		return "-"
 	}
 	slices.Sort(values)
-	at := func(percent int) int64 { return values[min(len(values)-1, len(values)*percent/100)] }
-	return fmt.Sprintf("%d / %d / %d", at(50), at(90), at(99))
+	percentile := func(percent int) int64 { return values[min(len(values)-1, len(values)*percent/100)] }
+	return fmt.Sprintf("%d / %d / %d", percentile(50), percentile(90), percentile(99))
 }
 
-// refusals are those of one cause.
+// refusals summarizes the refused requests of one cause.
 type refusals struct {
 	cause       string
 	count       int
 	first, last time.Time
-	millis      []int64 // that the requests had waited
+	millis      []int64 // from the arrival of each request to its refusal
 }
 
-// span takes the time of one more refusal: lines are in causal order, not in that of clocks.
-func (r *refusals) span(at time.Time) {
+// extend includes the time of one more refusal. Lines are in causal order, so that their wall
+// clocks may go backwards.
+func (r *refusals) extend(at time.Time) {
 	if at.Before(r.first) {
 		r.first = at
 	}
@@ -128,7 +130,7 @@
 	}
 }
 
-// writeRefusals writes a row a cause, the most frequent first.
+// writeRefusals writes one row per cause, the most frequent first.
 func writeRefusals(w io.Writer, lines []Line) {
 	byCause := make(map[string]*refusals)
 	for i := range lines {
@@ -143,8 +145,8 @@
 			byCause[cause] = r
 		}
 		r.count++
-		r.span(line.Time)
-		if ms, known := number(line, "ms"); known {
+		r.extend(line.Time)
+		if ms, ok := intAttr(line, "ms"); ok {
 			r.millis = append(r.millis, ms)
 		}
 	}
@@ -153,6 +155,6 @@
 	})
 	fmt.Fprintln(w, "REFUSED\tREQUESTS\tFIRST\tLAST\tAFTER MS")
 	for _, r := range sorted {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\n", r.cause, r.count, r.first.Format(timeLayout), r.last.Format(timeLayout), percentilesOf(r.millis))
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\n", r.cause, r.count, r.first.Format(timeLayout), r.last.Format(timeLayout), formatPercentiles(r.millis))
 	}
 }
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -14,14 +14,15 @@
 	"chicorytiller.example/chicorytiller/internal/event"
 )
 
-// logOf is the log of one process whose wall clock is wrong by skew.
-type logOf struct {
+// testLog is the log of one process.
+type testLog struct {
 	*event.Log
 	out bytes.Buffer
 }
 
-func newLog(process string, skew time.Duration) *logOf {
-	log := &logOf{}
+// newLog returns the log of a process whose wall clock is off by skew.
+func newLog(process string, skew time.Duration) *testLog {
+	log := &testLog{}
 	now := time.Date(2026, 5, 1, 12, 0, 0, 0, time.UTC).Add(skew)
 	log.Log = event.New(&log.out, process, slog.LevelDebug, func() time.Time {
 		now = now.Add(time.Millisecond)
@@ -38,16 +39,16 @@
 	return &all
 }
 
-func trace(lines []Line) []string {
-	var steps []string
+func summarize(lines []Line) []string {
+	var summaries []string
 	for _, line := range lines {
-		steps = append(steps, fmt.Sprintf("%s %d", line.Process, line.Number))
+		summaries = append(summaries, fmt.Sprintf("%s %d", line.Process, line.Number))
 	}
-	return steps
+	return summaries
 }
 
-// Guards against a time line in the order of wrong clocks.
-func TestCausalOrderBeatsWallClocks(t *testing.T) {
+// Guards against a timeline ordered by wrong wall clocks.
+func TestMergeIgnoresWrongWallClocks(t *testing.T) {
 	c := qt.New(t)
 	router, other := newLog("a@1", 0), newLog("b@1", -time.Hour)
 	router.Emit(event.RequestReplayed)
@@ -58,22 +59,22 @@
 	router.Emit(event.RequestAbandoned)
 
 	log := read(c, other.out.String(), router.out.String())
-	c.Assert(trace(Merge(log.Lines)), qt.DeepEquals, []string{"a@1 207", "a@1 208", "b@1 308", "a@1 206"})
+	c.Assert(summarize(Merge(log.Lines)), qt.DeepEquals, []string{"a@1 207", "a@1 208", "b@1 308", "a@1 206"})
 }
 
-// Guards against a merged line with an effect before its cause, whatever the clocks.
-func TestMergeKeepsCausesFirst(t *testing.T) {
+// Guards against an effect before its cause in the timeline, whatever the wall clocks show.
+func TestMergePutsCausesBeforeEffects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var logs []*logOf
+		var logs []*testLog
 		for i := range rapid.IntRange(1, 4).Draw(t, "processes") {
 			skew := time.Duration(rapid.IntRange(-1000, 1000).Draw(t, "skew")) * time.Millisecond
 			logs = append(logs, newLog(fmt.Sprintf("p%d", i), skew))
 		}
-		emitted := make([]uint64, len(logs))    // last seq of each process
-		after := map[string]map[string]uint64{} // line -> process -> least seq that comes first
+		emitted := make([]uint64, len(logs))       // last seq of each process
+		causesOf := map[string]map[string]uint64{} // line -> process -> seq that must precede the line
 		emit := func(i int, causes map[string]uint64) {
 			emitted[i]++
-			after[fmt.Sprintf("p%d/%d", i, emitted[i])] = causes
+			causesOf[fmt.Sprintf("p%d/%d", i, emitted[i])] = causes
 			logs[i].Emit(event.ProcessReady)
 		}
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
@@ -94,7 +95,7 @@
 			if line.Seq != seen[line.Process]+1 {
 				t.Fatalf("%s: seq %d after %d", line.Process, line.Seq, seen[line.Process])
 			}
-			for process, seq := range after[fmt.Sprintf("%s/%d", line.Process, line.Seq)] {
+			for process, seq := range causesOf[fmt.Sprintf("%s/%d", line.Process, line.Seq)] {
 				if process != line.Process && seen[process] < seq {
 					t.Fatalf("%s/%d came before its cause %s/%d", line.Process, line.Seq, process, seq)
 				}
@@ -104,7 +105,7 @@
 	})
 }
 
-func TestDamagedLinesAreCountedAndPassedOver(t *testing.T) {
+func TestReadCountsAndSkipsMalformedLines(t *testing.T) {
 	c := qt.New(t)
 	source := newLog("a@1", 0)
 	source.Emit(event.ProcessStarted)
@@ -114,16 +115,16 @@
 		strings.Replace(good, `"clock":1`, `"clock":-1`, 1), strings.Repeat("x", MaxLineBytes+10),
 		strings.Repeat("x", 3*MaxLineBytes),
 	}
-	half := good[:len(good)/2] // the end of a killed process's log
-	log := read(c, good+"\n"+strings.Join(bad, "\n")+"\n"+good+half)
+	partial := good[:len(good)/2] // as at the end of a killed process's log
+	log := read(c, good+"\n"+strings.Join(bad, "\n")+"\n"+good+partial)
 	c.Assert(log.Lines, qt.HasLen, 2)
 	c.Assert(log.MalformedLines, qt.Equals, len(bad)+1)
 }
 
-func TestFilters(t *testing.T) {
+func TestFilterApply(t *testing.T) {
 	c := qt.New(t)
 	router, engine := newLog("vm-1@7", 0), newLog("engine-1", 0)
-	emit := func(log *logOf, number event.Number, pairs ...string) {
+	emit := func(log *testLog, number event.Number, pairs ...string) {
 		var attrs []slog.Attr
 		for i := 0; i < len(pairs); i += 2 {
 			attrs = append(attrs, slog.String(pairs[i], pairs[i+1]))
@@ -138,16 +139,16 @@
 	engine.Observe(router.Tick())
 	emit(engine, event.BackendLeaving, event.KeyAttempt, "r1.1")
 	lines := Merge(read(c, router.out.String(), engine.out.String()).Lines)
-	base := lines[0].Time
+	start := lines[0].Time
 
-	family := []string{"vm-1@7 207", "vm-1@7 208", "vm-1@7 203", "engine-1 702"}
+	related := []string{"vm-1@7 207", "vm-1@7 208", "vm-1@7 203", "engine-1 702"}
 	tests := []struct {
 		name   string
 		filter Filter
 		want   []string
 	}{
-		{"request and its attempts", Filter{Request: "r1"}, family},
-		{"attempt and its request", Filter{Request: "r1.1"}, family},
+		{"request and its attempts", Filter{Request: "r1"}, related},
+		{"attempt and its request", Filter{Request: "r1.1"}, related},
 		{"unknown request", Filter{Request: "r"}, nil},
 		{"account", Filter{Account: "depot"}, []string{"vm-1@7 207"}},
 		{"router that is named", Filter{Router: "vm-2"}, []string{"vm-1@7 603"}},
@@ -157,16 +158,16 @@
 		{"cause", Filter{Cause: "backend_failed"}, []string{"vm-1@7 203"}},
 		{"events", Filter{Events: []event.Number{603, 702}}, []string{"vm-1@7 603", "engine-1 702"}},
 		{"since", Filter{Since: lines[4].Time}, []string{"vm-1@7 603"}},
-		{"until", Filter{Until: base.Add(time.Millisecond), Router: "vm-1"}, []string{"vm-1@7 207"}},
+		{"until", Filter{Until: start.Add(time.Millisecond), Router: "vm-1"}, []string{"vm-1@7 207"}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			qt.Assert(t, trace(test.filter.Apply(lines)), qt.DeepEquals, test.want)
+			qt.Assert(t, summarize(test.filter.Apply(lines)), qt.DeepEquals, test.want)
 		})
 	}
 }
 
-func TestOutputs(t *testing.T) {
+func TestWriteTableAndJSON(t *testing.T) {
 	c := qt.New(t)
 	source := newLog("a@1", 0)
 	source.Emit(event.RequestRefused, slog.String(event.KeyCause, "overload x=1\n"), slog.Int(event.KeyTokens, 7))
@@ -178,8 +179,8 @@
 	c.Assert(raw.String(), qt.Equals, source.out.String())
 }
 
-// FuzzRead holds that no log stops the reading, and that what was read of a line
-// is read the same again.
+// FuzzRead checks that no input makes Read fail, and that the lines read can be written and
+// read again.
 func FuzzRead(f *testing.F) {
 	source := newLog("a@1", 0)
 	source.Emit(event.RequestRefused, slog.String(event.KeyCause, "overload"), slog.Group("g", slog.Int("n", 1)))
--- a/internal/timeline/write.go
+++ b/internal/timeline/write.go
@@ -9,10 +9,10 @@
 	"github.com/pkg/errors"
 )
 
-// timeLayout keeps the columns of the table aligned.
+// timeLayout has a fixed number of decimals, so that times in the table align.
 const timeLayout = "2006-01-02T15:04:05.000000Z07:00"
 
-// WriteJSON writes the lines as their logs had them, one a line.
+// WriteJSON writes the lines as they are in their logs.
 func WriteJSON(w io.Writer, lines []Line) error {
 	for _, line := range lines {
 		if _, err := w.Write(append(line.Raw, '\n')); err != nil {
@@ -22,21 +22,22 @@
 	return nil
 }
 
-// WriteTable writes the lines for a reader.
+// WriteTable writes the lines as a table for people to read.
 func WriteTable(w io.Writer, lines []Line) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "CLOCK\tTIME\tPROCESS\tEVENT\tTEXT\tATTRIBUTES")
 	for i := range lines {
 		line := &lines[i]
 		fmt.Fprintf(table, "%d\t%s\t%s\t%d\t%s\t%s\n",
-			line.Clock, line.Time.Format(timeLayout), line.Process, line.Number, line.Text, attrsText(line.Attrs))
+			line.Clock, line.Time.Format(timeLayout), line.Process, line.Number, line.Text, formatAttrs(line.Attrs))
 	}
 	return errors.Wrap(table.Flush(), "timeline: writing")
 }
 
-// attrsText quotes values with spaces or control characters, so that a value
-// can't look like another attribute or break the table.
-func attrsText(attrs []Attr) string {
+// formatAttrs formats attributes as key=value. It quotes values with spaces, quotes, equals
+// signs or control characters, so that a value can't look like another attribute or break the
+// table.
+func formatAttrs(attrs []Attr) string {
 	var text strings.Builder
 	for i, attr := range attrs {
 		if i > 0 {
@@ -44,7 +45,7 @@
 		}
 		text.WriteString(attr.Key)
 		text.WriteByte('=')
-		if strings.ContainsFunc(attr.Value, needsQuotes) {
+		if strings.ContainsFunc(attr.Value, needsQuoting) {
 			fmt.Fprintf(&text, "%q", attr.Value)
 		} else {
 			text.WriteString(attr.Value)
@@ -53,6 +54,6 @@
 	return text.String()
 }
 
-func needsQuotes(r rune) bool {
+func needsQuoting(r rune) bool {
 	return r <= ' ' || r == '"' || r == '=' || r == 0x7f
 }
