--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon is what all router programs share: flags, signals, settings that
-// change, the log. A program ends with 0 after a planned stop (SIGTERM or SIGINT),
-// with 1 when it can't go on and with 2 when its settings are wrong.
+// Package daemon contains what all router programs share: flags, signals, reloading of
+// settings and the log. A program exits with 0 after a planned stop (SIGTERM or SIGINT),
+// with 1 after a fatal error and with 2 if its settings are invalid.
 package daemon
 
 import (
@@ -26,40 +26,40 @@
 
 // Exit codes.
 const (
-	exitFailed   = 1
-	exitSettings = 2
+	exitFailure         = 1
+	exitInvalidSettings = 2
 )
 
-// settingsEvery is how often the settings file is looked at: it may change without
-// a signal.
-const settingsEvery = 2 * time.Second
+// settingsCheckInterval is the time between checks of the settings file, which may change
+// without a SIGHUP.
+const settingsCheckInterval = 2 * time.Second
 
-// heapGrowth lets the heap grow by half before it is collected: memory is dearer
-// than processor time on entry VMs.
-const heapGrowth = 50
+// gcPercent lets the heap grow by half before a garbage collection: memory is scarcer than
+// processor time on entry VMs.
+const gcPercent = 50
 
-// heapShare is the part of the process's memory above which the heap is collected
-// at any price: beyond the limit the process is killed.
-const heapShare = 0.7
+// memoryLimitFraction is the fraction of the process's memory above which garbage is
+// collected at any cost, because a process that exceeds its memory is killed.
+const memoryLimitFraction = 0.7
 
-// hangups gets each SIGHUP from before main on. One that comes before its handler is
-// there ends the process, and an operator may send it right after a start.
-var hangups = takeHangups()
+// hangups receives SIGHUP. It is registered before main starts, because a SIGHUP without a
+// handler kills the process and an operator may send one right after the start.
+var hangups = notifyHangups()
 
-func takeHangups() <-chan os.Signal {
-	taken := make(chan os.Signal, 1)
-	signal.Notify(taken, syscall.SIGHUP)
-	return taken
+func notifyHangups() <-chan os.Signal {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
+	return signals
 }
 
-// Program is one router program.
+// Program is a router program.
 type Program struct {
 	Name, Help string
-	// Environment is how it speaks with its surroundings.
+	// Environment returns the program's connection to its deployment.
 	Environment func(settings *node.Settings, clock func() escrow.ClockReading, log *event.Log) node.Environment
 }
 
-// Main runs the program with the command line's arguments and ends the process.
+// Main runs the program with the command-line arguments and exits the process on an error.
 func (p Program) Main() {
 	app := kingpin.New(p.Name, p.Help)
 	app.Version(version.Version)
@@ -71,23 +71,23 @@
 	settings, err := node.LoadSettings(*file)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		os.Exit(exitSettings)
+		os.Exit(exitInvalidSettings)
 	}
 	if *checkOnly {
 		fmt.Println("settings are right")
 		return
 	}
 	if err := p.run(settings, *file); err != nil {
-		slog.Error(p.Name+" stops", "error", err)
-		os.Exit(exitFailed)
+		slog.Error(p.Name+" failed", "error", err)
+		os.Exit(exitFailure)
 	}
 }
 
 func (p Program) run(settings *node.Settings, file string) error {
-	runtime.GOMAXPROCS(1) // an entry VM has a part of one core: more threads only switch
-	debug.SetGCPercent(heapGrowth)
+	runtime.GOMAXPROCS(1) // an entry VM has a fraction of a core: more threads only cause context switches
+	debug.SetGCPercent(gcPercent)
 	if settings.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(settings.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.MemoryMB) * (1 << 20)))
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -95,18 +95,18 @@
 	incarnation := uuid.NewString()
 	buffer := event.NewBuffer(os.Stdout)
 	log := event.New(buffer, settings.VM+"@"+incarnation[:8], slog.LevelInfo, nil)
-	logging, endLog := context.WithCancel(context.Background())
+	logCtx, stopLog := context.WithCancel(context.Background())
 	var tasks conc.WaitGroup
 	defer tasks.Wait()
-	defer endLog()
-	tasks.Go(func() { buffer.Run(logging) })
+	defer stopLog()
+	tasks.Go(func() { buffer.Run(logCtx) })
 
 	clock, err := escrow.SystemClock()
 	if err != nil {
 		return err
 	}
 	n := node.New(settings, p.Environment(settings, clock, log), log, incarnation)
-	tasks.Go(func() { watchSettings(logging, file, n, log) })
+	tasks.Go(func() { watchSettings(logCtx, file, n, log) })
 	if err := n.Listen(); err != nil {
 		return err
 	}
@@ -115,22 +115,22 @@
 	return nil
 }
 
-// watchSettings puts changed settings in force, on SIGHUP or when the file changes.
+// watchSettings reloads the settings on SIGHUP and when the file changes.
 func watchSettings(ctx context.Context, file string, n *node.Node, log *event.Log) {
-	ticker := time.NewTicker(settingsEvery)
+	ticker := time.NewTicker(settingsCheckInterval)
 	defer ticker.Stop()
-	seen := modified(file)
+	lastModTime := modTime(file)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
 		case <-ticker.C:
-			if modified(file).Equal(seen) {
+			if modTime(file).Equal(lastModTime) {
 				continue
 			}
 		}
-		seen = modified(file)
+		lastModTime = modTime(file)
 		settings, err := node.LoadSettings(file)
 		if err != nil {
 			log.Emit(event.SettingsRejected, slog.Any(event.KeyCause, err))
@@ -140,8 +140,8 @@
 	}
 }
 
-// modified is when the file was last written; zero while it can't be read.
-func modified(file string) time.Time {
+// modTime returns the file's modification time, or the zero time if that can't be read.
+func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a process that ends because it is told to reload at its start.
-func TestHangupBeforeTheProgramRuns(t *testing.T) {
+// Guards against a process that is killed by a SIGHUP right after its start.
+func TestHangupBeforeMain(t *testing.T) {
 	qt.Assert(t, syscall.Kill(os.Getpid(), syscall.SIGHUP), qt.IsNil)
 	qt.Assert(t, <-hangups, qt.Equals, os.Signal(syscall.SIGHUP))
 }
--- a/internal/event/buffer.go
+++ b/internal/event/buffer.go
@@ -9,53 +9,53 @@
 	"time"
 )
 
-// Bounds of a Buffer.
+// Limits of a Buffer.
 const (
-	// bufferMost is the bytes that wait at most; lines beyond it are dropped and
-	// counted. It holds some seconds of a busy router's lines.
-	bufferMost = 256 << 10
-	// flushEvery is how long a line waits: one write call then carries many lines.
-	flushEvery = 100 * time.Millisecond
+	// maxBuffered is the maximum number of buffered bytes, enough for a few seconds of a
+	// busy router's log. Lines that do not fit are dropped and counted.
+	maxBuffered = 256 << 10
+	// flushInterval is the time between writes, so that one write call carries many lines.
+	flushInterval = 100 * time.Millisecond
 )
 
-// Buffer takes lines without ever blocking and writes them from one goroutine. A
-// reader of standard output that is slow must not slow requests.
+// Buffer accepts log lines without blocking. The goroutine that calls Run writes them, so
+// that a slow reader of standard output does not slow down requests.
 type Buffer struct {
 	out io.Writer
 
-	mu      sync.Mutex
-	waiting bytes.Buffer
-	dropped int64 // since the last flush
-	total   int64
+	mu           sync.Mutex
+	pending      bytes.Buffer
+	dropped      int64 // since the last flush
+	totalDropped int64
 }
 
-// NewBuffer makes a buffer before out. Run must be called for lines to appear.
+// NewBuffer returns a Buffer that writes to out. Lines are written only by Run.
 func NewBuffer(out io.Writer) *Buffer {
 	return &Buffer{out: out}
 }
 
-// Write takes one line, or drops it whole if too much waits.
+// Write buffers one line, or drops the whole line if the buffer is full.
 func (b *Buffer) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.waiting.Len()+len(line) > bufferMost {
+	if b.pending.Len()+len(line) > maxBuffered {
 		b.dropped++
-		b.total++
+		b.totalDropped++
 		return len(line), nil
 	}
-	return b.waiting.Write(line)
+	return b.pending.Write(line)
 }
 
-// Dropped is how many lines were dropped in all.
+// Dropped returns the total number of dropped lines.
 func (b *Buffer) Dropped() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.total
+	return b.totalDropped
 }
 
-// Run writes what waits until ctx ends, and then the rest.
+// Run writes buffered lines at regular intervals until ctx ends, and then the rest.
 func (b *Buffer) Run(ctx context.Context) {
-	ticker := time.NewTicker(flushEvery)
+	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -70,8 +70,8 @@
 
 func (b *Buffer) flush() {
 	b.mu.Lock()
-	lines := bytes.Clone(b.waiting.Bytes())
-	b.waiting.Reset()
+	lines := bytes.Clone(b.pending.Bytes())
+	b.pending.Reset()
 	dropped := b.dropped
 	b.dropped = 0
 	b.mu.Unlock()
@@ -79,6 +79,6 @@
 		lines = fmt.Appendf(lines, "{\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"lines\":%d}\n", dropped)
 	}
 	if len(lines) > 0 {
-		_, _ = b.out.Write(lines) // there is nowhere else to report it
+		_, _ = b.out.Write(lines) // an error can't be reported anywhere else
 	}
 }
--- a/internal/event/buffer_test.go
+++ b/internal/event/buffer_test.go
@@ -9,12 +9,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against requests that wait for standard output, and lines dropped unseen.
-func TestBufferNeverBlocksAndCountsWhatItDrops(t *testing.T) {
+// Guards against requests that block on standard output, and against dropped lines that are
+// not reported.
+func TestBufferDropsAndCountsExcessLines(t *testing.T) {
 	var out bytes.Buffer
 	b := NewBuffer(&out)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
-	lines := bufferMost/len(line) + 5
+	lines := maxBuffered/len(line) + 5
 	for i := 0; i < lines; i++ {
 		n, err := b.Write(line)
 		qt.Assert(t, err, qt.IsNil)
--- a/internal/event/catalogue_test.go
+++ b/internal/event/catalogue_test.go
@@ -12,26 +12,26 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// row matches a row of docs/EVENTS.md that describes an event.
-var row = regexp.MustCompile(`(?m)^\| (\d+) \| ([A-Z]+) \| ([^|]+) \| [^|]+ \| [^|]+ \| [^|]+ \|$`)
+// eventRow matches a table row of docs/EVENTS.md that describes an event.
+var eventRow = regexp.MustCompile(`(?m)^\| (\d+) \| ([A-Z]+) \| ([^|]+) \| [^|]+ \| [^|]+ \| [^|]+ \|$`)
 
-func TestCatalogueEqualsPage(t *testing.T) {
+func TestCatalogueMatchesDocs(t *testing.T) {
 	c := qt.New(t)
 	page, err := os.ReadFile("../../docs/EVENTS.md")
 	c.Assert(err, qt.IsNil)
-	var documented, coded [][]string
-	for _, match := range row.FindAllStringSubmatch(string(page), -1) {
+	var documented, catalogued [][]string
+	for _, match := range eventRow.FindAllStringSubmatch(string(page), -1) {
 		documented = append(documented, match[1:])
 	}
 	for _, kind := range Catalogue {
-		coded = append(coded, []string{strconv.Itoa(int(kind.Number)), kind.Level.String(), kind.Text})
+		catalogued = append(catalogued, []string{strconv.Itoa(int(kind.Number)), kind.Level.String(), kind.Text})
 	}
-	c.Assert(documented, qt.DeepEquals, coded)
+	c.Assert(documented, qt.DeepEquals, catalogued)
 }
 
-func TestNumbersAreUniqueAndInCatalogue(t *testing.T) {
+func TestNumbersAreUniqueAndCatalogued(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(byNumber, qt.HasLen, len(Catalogue), qt.Commentf("a number stands twice in the catalogue"))
+	c.Assert(byNumber, qt.HasLen, len(Catalogue), qt.Commentf("the catalogue contains a number twice"))
 	declared := declaredNumbers(c)
 	c.Assert(declared, qt.HasLen, len(Catalogue))
 	for name, number := range declared {
@@ -40,7 +40,7 @@
 	}
 }
 
-// declaredNumbers gives the constants of type Number that catalogue.go declares.
+// declaredNumbers returns the constants of type Number declared in catalogue.go, by name.
 func declaredNumbers(c *qt.C) map[string]Number {
 	file, err := parser.ParseFile(token.NewFileSet(), "catalogue.go", nil, 0)
 	c.Assert(err, qt.IsNil)
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,7 +1,7 @@
-// Package event writes the numbered events of a process as JSON lines, one
-// event a line, by log/slog. Each line carries the process, a sequence number
-// within it and a Lamport clock, so that chicory-timeline can merge the logs of
-// many processes in causal order.
+// Package event logs the numbered events of a process as JSON lines, one event
+// per line, with log/slog. Each line contains the name of the process, a sequence
+// number within the process and a Lamport clock, so that chicory-timeline can merge
+// the logs of many processes in causal order.
 package event
 
 import (
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// Number identifies a kind of event. Numbers are never used again for another kind.
+// Number identifies a kind of event. A number is never reused for another kind.
 type Number int
 
-// Keys of the attributes that each event line carries.
+// Keys of the attributes that each event line contains.
 const (
 	KeyNumber  = "event"
 	KeyProcess = "process"
@@ -24,7 +24,8 @@
 	KeyClock   = "clock"
 )
 
-// Keys of common attributes, so that a time line can be filtered by them.
+// Keys of attributes that many kinds of events share, so that package timeline can filter
+// and summarize events by them.
 const (
 	KeyRequest = "request"
 	KeyAttempt = "attempt"
@@ -42,13 +43,14 @@
 	logger  *slog.Logger
 	clock   atomic.Uint64
 
-	// mu keeps seq and the order of the lines the same: without it two
-	// goroutines could write their lines in the other order than their numbers.
+	// mu keeps the lines in the order of seq. Without it, two goroutines could write
+	// their lines in the opposite order.
 	mu  sync.Mutex
 	seq uint64
 }
 
-// New makes a log that writes to w as the given process. A nil now means time.Now.
+// New returns a Log that writes the events of process to w, from level up. A nil now means
+// time.Now.
 func New(w io.Writer, process string, level slog.Leveler, now func() time.Time) *Log {
 	options := &slog.HandlerOptions{Level: level}
 	if now != nil {
@@ -62,12 +64,12 @@
 	return &Log{process: process, logger: slog.New(slog.NewJSONHandler(w, options))}
 }
 
-// Discard is a log that writes nothing.
+// Discard returns a Log that writes nothing.
 func Discard() *Log {
 	return &Log{logger: slog.New(slog.DiscardHandler)}
 }
 
-// Emit writes one event.
+// Emit writes one event if the log's level includes it.
 func (l *Log) Emit(n Number, attrs ...slog.Attr) {
 	kind := kindOf(n)
 	if !l.logger.Enabled(context.Background(), kind.Level) {
@@ -87,13 +89,13 @@
 	l.logger.LogAttrs(context.Background(), kind.Level, kind.Text, all...)
 }
 
-// Tick advances the Lamport clock for an event or a message sent, and returns it.
+// Tick advances the Lamport clock for an event or a sent message and returns its new value.
 func (l *Log) Tick() uint64 {
 	return l.clock.Add(1)
 }
 
-// Observe moves the Lamport clock past that of a received message, so that what
-// follows is ordered after what the sender had done before.
+// Observe advances the Lamport clock to at least that of a received message, so that later
+// events are ordered after those that preceded the message at its sender.
 func (l *Log) Observe(remote uint64) {
 	for {
 		current := l.clock.Load()
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -14,7 +14,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-func TestEmitWritesOneLineAnEvent(t *testing.T) {
+func TestEmitWritesOneLinePerEvent(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
 	now := time.Date(2026, 5, 1, 12, 0, 0, 0, time.UTC)
@@ -32,41 +32,41 @@
 	})
 }
 
-// Guards against prompts in the log by way of a panic.
+// Guards against prompts that reach the log in the value of a panic.
 func TestEmitPanicTellsNoText(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
 	log := New(&out, "p", slog.LevelInfo, nil)
-	panicWith := func(f func()) {
+	emitPanicOf := func(f func()) {
 		defer func() { log.EmitPanic("a handler", recover()) }()
 		f()
 	}
-	panicWith(func() { panic("text of a prompt") })
-	panicWith(func() { panic(errors.New("text of a prompt")) })
+	emitPanicOf(func() { panic("text of a prompt") })
+	emitPanicOf(func() { panic(errors.New("text of a prompt")) })
 	c.Assert(out.String(), qt.Not(qt.Contains), "prompt")
-	var none []int
-	panicWith(func() { none[len(none)] = 1 })
+	var empty []int
+	emitPanicOf(func() { empty[len(empty)] = 1 })
 	c.Assert(out.String(), qt.Contains, "index out of range")
 	c.Assert(out.String(), qt.Contains, "TestEmitPanicTellsNoText")
 	c.Assert(strings.Count(out.String(), `"event":900`), qt.Equals, 3)
 }
 
-func TestSeqFollowsTheLinesUnderConcurrency(t *testing.T) {
+func TestSeqMatchesLineOrder(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
 	log := New(&out, "p", slog.LevelInfo, nil)
-	const writers, each = 8, 50
+	const writers, eventsPerWriter = 8, 50
 	var group conc.WaitGroup
 	for range writers {
 		group.Go(func() {
-			for range each {
+			for range eventsPerWriter {
 				log.Emit(ProcessReady)
 			}
 		})
 	}
 	group.Wait()
 	decoder := json.NewDecoder(&out)
-	for want := uint64(1); want <= writers*each; want++ {
+	for want := uint64(1); want <= writers*eventsPerWriter; want++ {
 		var line struct{ Seq, Clock uint64 }
 		c.Assert(decoder.Decode(&line), qt.IsNil)
 		c.Assert(line.Seq, qt.Equals, want)
--- a/internal/event/panic.go
+++ b/internal/event/panic.go
@@ -7,16 +7,16 @@
 	"runtime/debug"
 )
 
-// EmitPanic tells of a recovered panic by InvariantBroken. It is called by the
-// deferred function that recovered it, so that the stack is the panic's own.
+// EmitPanic logs a recovered panic as InvariantBroken. The deferred function that
+// recovered the panic must call it, so that the logged stack is that of the panic.
 //
-// Failure: the value of a panic may hold a caller's text or a key, which must not
-// reach a log. Only its type is told, and the text of the runtime's own errors,
-// which holds numbers and types. A stack holds none of it either.
+// The value of a panic may contain a caller's text or a key, which must not reach a
+// log. Only its type is logged, or the text of a runtime.Error, which contains only
+// numbers and types. The stack contains no such text either.
 func (l *Log) EmitPanic(where string, cause any) {
 	text := fmt.Sprintf("%T", cause)
-	if fault, ok := cause.(runtime.Error); ok {
-		text = fault.Error()
+	if runtimeErr, ok := cause.(runtime.Error); ok {
+		text = runtimeErr.Error()
 	}
 	l.Emit(InvariantBroken,
 		slog.String("invariant", "no panic in "+where),
--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,6 +1,5 @@
-// Package fixedseed gives randomised tests a fixed seed, so that a test run has the
-// same verdict every time. Longer or other runs are asked for by rapid's own flags.
-// Only tests import it.
+// Package fixedseed gives randomized tests a fixed seed, so that every test run has the same
+// result. Rapid's own flags select longer or different runs. Only tests import it.
 package fixedseed
 
 import (
@@ -9,20 +8,20 @@
 	"testing"
 )
 
-// Main is the body of a package's TestMain. Defaults are further flags of rapid,
-// by name ("rapid.checks"); those given on the command line win.
+// Main is the body of a package's TestMain. The keys of defaults are names of further flags
+// of rapid, such as "rapid.checks". Flags on the command line take precedence.
 func Main(m *testing.M, defaults map[string]string) {
 	flag.Parse()
-	given := make(map[string]bool)
-	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
-	set := func(name, value string) {
-		if !given[name] && flag.Lookup(name) != nil {
+	flagsSet := make(map[string]bool)
+	flag.Visit(func(f *flag.Flag) { flagsSet[f.Name] = true })
+	setDefault := func(name, value string) {
+		if !flagsSet[name] && flag.Lookup(name) != nil {
 			_ = flag.Set(name, value)
 		}
 	}
-	set("rapid.seed", "1")
+	setDefault("rapid.seed", "1")
 	for name, value := range defaults {
-		set(name, value)
+		setDefault(name, value)
 	}
 	os.Exit(m.Run())
 }
--- a/internal/id/id.go
+++ b/internal/id/id.go
@@ -1,21 +1,21 @@
-// Package id holds the small value types by which the parts of the fleet name
-// things to each other. It imports nothing of the project.
+// Package id contains the types of names and token counts that other packages share. It
+// imports no other package of the project.
 package id
 
-// FailureDomain names a failure domain, for instance "karlin".
+// FailureDomain is the name of a failure domain, such as "karlin".
 type FailureDomain string
 
-// ClientAccount names a client account.
+// ClientAccount is the name of a client account.
 type ClientAccount string
 
-// Model names a model that engines serve.
+// Model is the name of a model that engines serve.
 type Model string
 
-// Service names a plain service beside the engines.
+// Service is the name of a plain service, whose backend servers are not engines.
 type Service string
 
-// Backend names one backend server (an engine or an instance of a service).
+// Backend is the name of one backend server: an engine or an instance of a service.
 type Backend string
 
-// Tokens counts model tokens, the unit of budgets and bills.
+// Tokens is a number of model tokens, the unit of budgets and bills.
 type Tokens int64
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,4 +1,4 @@
-// Package version names the release that all programs of the project print.
+// Package version contains the release that all programs of the project print.
 package version
 
 // Version is the release.
