--- a/internal/event/catalogue.go
+++ b/internal/event/catalogue.go
@@ -97,7 +97,8 @@
 	StoreCalls       Number = 716
 	// BackendMissing: the entry of a backend server is missing after a store outage.
 	BackendMissing Number = 717
-	// DataStale: the call that should have confirmed the data read from the store is overdue.
+	// DataStale: the call that should have confirmed the data known from the store, directly or
+	// by way of another router, is overdue.
 	DataStale Number = 718
 )
 
--- a/internal/timeline/line.go
+++ b/internal/timeline/line.go
@@ -43,7 +43,8 @@
 	return ""
 }
 
-// Decode parses one line of a log. The result does not refer to data. Its error wraps ErrMalformedLine.
+// Decode parses one line of a log. The result does not refer to data. The error wraps
+// ErrMalformedLine.
 func Decode(data []byte) (Line, error) {
 	value, err := fastjson.ParseBytes(data)
 	if err != nil {
