--- a/internal/enginestub/answer.go
+++ b/internal/enginestub/answer.go
@@ -15,20 +15,20 @@
 	FinishLength = "length"
 )
 
-// Bounds of an answer whose length the request doesn't fix.
+// Bounds of the length of an answer if the prompt does not set it. The upper bound is exclusive.
 const (
 	minAnswerTokens = 16
 	maxAnswerTokens = 256
 )
 
-// lengthMark in the messages' content fixes the length, as in "len=40".
-const lengthMark = "len="
+// lengthMarker in a prompt sets the number of tokens of the answer, as in "len=40".
+const lengthMarker = "len="
 
-// fixedLengthLimit keeps a mistyped length from filling the memory.
-const fixedLengthLimit = 1 << 20
+// maxFixedLength prevents a mistyped length from exhausting the memory.
+const maxFixedLength = 1 << 20
 
-// vocabulary holds the tokens that answers are made of. Some need escapes or
-// several bytes, so that a router's handling of them is tested along the way.
+// vocabulary holds the tokens of all answers. Some need JSON escapes or multi-byte encoding to
+// test that routers handle them.
 var vocabulary = []string{
 	"alpha ", "bridge ", "candle ", "delta ", "ember ", "field ", "grain ", "harbour ",
 	"island ", "jetty ", "kettle ", "lantern ", "meadow ", "north ", "orchard ", "pebble ",
@@ -36,7 +36,7 @@
 	"žlutý ", "kůň ", "東京 ", "🙂 ", "\"quoted\" ", "back\\slash ", "tab\t", "line\n",
 }
 
-// vocabularyJSON holds each token as a JSON string, quotes included.
+// vocabularyJSON holds the vocabulary's tokens as JSON strings including the quotes.
 var vocabularyJSON = encodeVocabulary()
 
 func encodeVocabulary() []string {
@@ -44,17 +44,17 @@
 	for i, token := range vocabulary {
 		text, err := json.Marshal(token)
 		if err != nil {
-			panic(err) // a string always has a JSON form
+			panic(err) // cannot happen: strings always encode
 		}
 		encoded[i] = string(text)
 	}
 	return encoded
 }
 
-// Answer gives the tokens and the finish reason with which every engine stub
-// answers the chat-completions request body. It depends on the model and on the
-// roles and content of the messages; maxTokens (when above zero) only cuts. A
-// body that isn't a request has no tokens.
+// Answer returns the tokens and the finish reason with which every Server answers the
+// chat-completions request body. They depend only on the model and on the roles and content of
+// the messages. If maxTokens is positive, it truncates the answer. For an invalid body there
+// are no tokens.
 func Answer(model string, body []byte, maxTokens int) (tokens []string, finish string) {
 	req, err := parseRequest(body)
 	if err != nil {
@@ -69,13 +69,13 @@
 	return tokens, finish
 }
 
-// answer gives the answer as indexes into the vocabulary.
+// answer returns the answer's tokens as indexes into the vocabulary.
 func (r *request) answer(maxTokens int) (indexes []uint8, finish string) {
 	seed := xxhash.Sum64String(r.model + "\x00" + r.prompt)
-	random := rand.New(rand.NewPCG(seed, ^seed))
-	length := minAnswerTokens + random.IntN(maxAnswerTokens-minAnswerTokens)
-	fixed, found := fixedLength(r.prompt)
-	if found {
+	rng := rand.New(rand.NewPCG(seed, ^seed))
+	length := minAnswerTokens + rng.IntN(maxAnswerTokens-minAnswerTokens)
+	fixed, ok := fixedLength(r.prompt)
+	if ok {
 		length = fixed
 	}
 	finish = FinishStop
@@ -85,24 +85,24 @@
 	}
 	indexes = make([]uint8, length)
 	for i := range indexes {
-		indexes[i] = uint8(random.IntN(len(vocabulary)))
+		indexes[i] = uint8(rng.IntN(len(vocabulary)))
 	}
 	return indexes, finish
 }
 
-// fixedLength reads the last "len=N" of the prompt.
+// fixedLength returns the N of the last "len=N" in the prompt.
 func fixedLength(prompt string) (int, bool) {
-	at := strings.LastIndex(prompt, lengthMark)
-	if at < 0 {
+	index := strings.LastIndex(prompt, lengthMarker)
+	if index < 0 {
 		return 0, false
 	}
-	digits := prompt[at+len(lengthMark):]
+	digits := prompt[index+len(lengthMarker):]
 	end := 0
 	for end < len(digits) && digits[end] >= '0' && digits[end] <= '9' {
 		end++
 	}
 	length, err := strconv.Atoi(digits[:end])
-	if err != nil || length < 1 || length > fixedLengthLimit {
+	if err != nil || length < 1 || length > maxFixedLength {
 		return 0, false
 	}
 	return length, true
--- a/internal/enginestub/answererror.go
+++ b/internal/enginestub/answererror.go
@@ -7,7 +7,7 @@
 	"chicorytiller.example/chicorytiller/internal/native"
 )
 
-// errorBody is the OpenAI form of an error answer.
+// errorBody is an error response in the format of the OpenAI API.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -18,19 +18,19 @@
 	Code    int    `json:"code"`
 }
 
-// answerError turns this package's errors into answers. 503 and 429 promise
-// that nothing ran.
-func answerError(c *fiber.Ctx, err error) error {
-	status := statusOf(err)
-	if status == fiber.StatusServiceUnavailable || status == fiber.StatusTooManyRequests || status == fiber.StatusMisdirectedRequest {
+// handleError is the fiber.ErrorHandler of this package. The statuses 503, 429 and 421 carry a
+// header which states that the request was not executed.
+func handleError(c *fiber.Ctx, err error) error {
+	code := statusCode(err)
+	if code == fiber.StatusServiceUnavailable || code == fiber.StatusTooManyRequests || code == fiber.StatusMisdirectedRequest {
 		c.Set(native.HeaderNotExecuted, "1")
 	}
-	detail := errorDetail{Message: err.Error(), Type: "engine_error", Code: status}
-	return c.Status(status).JSON(errorBody{Error: detail})
+	detail := errorDetail{Message: err.Error(), Type: "engine_error", Code: code}
+	return c.Status(code).JSON(errorBody{Error: detail})
 }
 
-func statusOf(err error) int {
-	var known *fiber.Error
+func statusCode(err error) int {
+	var fiberErr *fiber.Error
 	switch {
 	case errors.Is(err, ErrUnavailable), errors.Is(err, ErrModelNotLoaded):
 		return fiber.StatusServiceUnavailable
@@ -42,8 +42,8 @@
 		return fiber.StatusConflict
 	case errors.Is(err, ErrBadRequest):
 		return fiber.StatusBadRequest
-	case errors.As(err, &known):
-		return known.Code
+	case errors.As(err, &fiberErr):
+		return fiberErr.Code
 	default:
 		return fiber.StatusInternalServerError
 	}
--- a/internal/enginestub/control.go
+++ b/internal/enginestub/control.go
@@ -2,59 +2,60 @@
 
 import "fmt"
 
-// load is "running,waiting,slots".
-func (e *scheduler) load() string {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return fmt.Sprintf("%d,%d,%d", len(e.running), len(e.waiting), e.cfg.Slots)
+// load returns the value of the load header: "running,waiting,slots".
+func (s *scheduler) load() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return fmt.Sprintf("%d,%d,%d", len(s.running), len(s.waiting), s.cfg.Slots)
 }
 
-func (e *scheduler) runReport() RunReport {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.runs.report()
+func (s *scheduler) runReport() RunReport {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.runs.report()
 }
 
-func (e *scheduler) setLeaving() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.leaving = true
+func (s *scheduler) setDraining() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.draining = true
 }
 
-func (e *scheduler) setPaused(paused bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.paused = paused
-	e.wakeUp()
+func (s *scheduler) setPaused(paused bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.paused = paused
+	s.wakeUp()
 }
 
-func (e *scheduler) idle() bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return len(e.running) == 0 && len(e.waiting) == 0
+func (s *scheduler) idle() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.running) == 0 && len(s.waiting) == 0
 }
 
-// crash ends everything in the middle of a step, as a killed process would: the
-// connections first, so that no stream gets an orderly end.
-func (e *scheduler) crash() {
-	e.onCrash()
-	e.halt()
+// crashLocked simulates a killed process in the middle of a step. It closes the connections
+// before it ends the sequences so that no stream ends regularly. s.mu must be held.
+func (s *scheduler) crashLocked() {
+	s.onCrash()
+	s.stopLocked()
 }
 
-// stop ends the loop and all streams.
-func (e *scheduler) stop() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.halt()
+// stop ends the loop and all sequences.
+func (s *scheduler) stop() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.stopLocked()
 }
 
-func (e *scheduler) halt() {
-	if e.stopped {
+// stopLocked is stop with s.mu held.
+func (s *scheduler) stopLocked() {
+	if s.stopped {
 		return
 	}
-	e.stopped = true
-	close(e.quit)
-	for _, s := range e.byAttempt {
-		s.progress.set(s.run.Tokens, true)
+	s.stopped = true
+	close(s.quit)
+	for _, seq := range s.byAttempt {
+		seq.progress.set(seq.run.Tokens, true)
 	}
 }
--- a/internal/enginestub/effects.go
+++ b/internal/enginestub/effects.go
@@ -5,63 +5,63 @@
 	"strings"
 )
 
-// Confirmation is the effect of calls to POST /confirm. Count above one means
-// that a call which must not be repeated was.
+// Confirmation is the effect of calls to POST /confirm. A Count above one means that a
+// non-idempotent call was repeated.
 type Confirmation struct {
 	ID       string `json:"id"`
-	Request  string `json:"request"` // of the last call
+	Request  string `json:"request"` // request ID of the last call
 	BodyHash string `json:"body_hash"`
 	Count    int    `json:"count"`
 }
 
-// ServiceRuns is the answer to GET /runs.
+// ServiceRuns is the response to GET /runs.
 type ServiceRuns struct {
 	Calls     int            `json:"calls"`
 	ByRequest []Confirmation `json:"by_request"`
 	ByBody    []Confirmation `json:"by_body"`
 }
 
-// Runs tells which effects there were.
+// Runs returns the confirmations made so far.
 func (s *Service) Runs() ServiceRuns {
-	s.effects.Lock()
-	defer s.effects.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return ServiceRuns{
 		Calls:     s.calls,
-		ByRequest: sorted(s.byRequest),
-		ByBody:    sorted(s.byBody),
+		ByRequest: sortedConfirmations(s.byRequest),
+		ByBody:    sortedConfirmations(s.byBody),
 	}
 }
 
-func sorted(confirmations map[string]*Confirmation) []Confirmation {
+func sortedConfirmations(confirmations map[string]*Confirmation) []Confirmation {
 	list := make([]Confirmation, 0, len(confirmations))
 	for _, confirmation := range confirmations {
 		list = append(list, *confirmation)
 	}
 	slices.SortFunc(list, func(a, b Confirmation) int {
-		byRequest := strings.Compare(a.Request, b.Request)
-		if byRequest != 0 {
-			return byRequest
+		order := strings.Compare(a.Request, b.Request)
+		if order != 0 {
+			return order
 		}
 		return strings.Compare(a.BodyHash, b.BodyHash)
 	})
 	return list
 }
 
-// confirm has the effect. A call that comes to this place after another one's
-// crash has none: a dead process would not have had it either.
+// confirm records the effect of a call. It has no effect after a simulated crash, as in a
+// process that was killed.
 func (s *Service) confirm(id, request, bodyHash string) error {
-	s.effects.Lock()
-	defer s.effects.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if s.stopped {
 		return ErrUnavailable
 	}
 	s.calls++
-	count(s.byRequest, request, id, request, bodyHash)
-	count(s.byBody, bodyHash, id, request, bodyHash)
+	countConfirmation(s.byRequest, request, id, request, bodyHash)
+	countConfirmation(s.byBody, bodyHash, id, request, bodyHash)
 	return nil
 }
 
-func count(confirmations map[string]*Confirmation, key, id, request, bodyHash string) {
+func countConfirmation(confirmations map[string]*Confirmation, key, id, request, bodyHash string) {
 	confirmation := confirmations[key]
 	if confirmation == nil {
 		confirmation = &Confirmation{}
--- a/internal/enginestub/enginehandlers.go
+++ b/internal/enginestub/enginehandlers.go
@@ -12,49 +12,50 @@
 	"chicorytiller.example/chicorytiller/internal/native"
 )
 
-func (s *Server) routes() {
-	s.app.Use(s.accept)
-	s.app.Post("/v1/chat/completions", s.handleGenerate)
+func (s *Server) addRoutes() {
+	s.app.Use(s.handleCommon)
+	s.app.Post("/v1/chat/completions", s.handleChatCompletions)
 	s.app.Get("/v1/runs", s.handleRuns)
 }
 
-// accept answers under the request's id, tells the load, and rejects what is meant
-// for another backend server.
-func (h *httpServer) accept(c *fiber.Ctx) error {
-	request := strings.Clone(c.Get(native.HeaderRequestID))
-	if request == "" {
+// handleCommon is the middleware of all routes except RateLimitPath. It copies the request ID
+// to the response, rejects requests for another backend server and advertises the rate limit.
+func (h *httpServer) handleCommon(c *fiber.Ctx) error {
+	requestID := strings.Clone(c.Get(native.HeaderRequestID))
+	if requestID == "" {
 		return c.Next()
 	}
-	c.Set(native.HeaderRequestID, request)
-	meant := c.Get(native.HeaderBackend)
-	if h.id != "" && meant != "" && meant != h.id {
+	c.Set(native.HeaderRequestID, requestID)
+	target := c.Get(native.HeaderBackend)
+	if h.id != "" && target != "" && target != h.id {
 		return ErrMisdirected
 	}
-	return h.limit.handle(c, request)
+	return h.rateLimit.handle(c, requestID)
 }
 
-func (s *Server) handleGenerate(c *fiber.Ctx) error {
+func (s *Server) handleChatCompletions(c *fiber.Ctx) error {
 	req, err := parseRequest(c.Body())
 	if err != nil {
 		return err
 	}
-	requestID, attemptID := s.name(strings.Clone(c.Get(native.HeaderRequestID)))
+	requestID, attemptID := s.newIDs(strings.Clone(c.Get(native.HeaderRequestID)))
 	seq, err := s.scheduler.submit(requestID, attemptID, req)
 	if err != nil {
 		return err
 	}
 	c.Set(native.HeaderLoad, s.scheduler.load())
 	if !req.stream {
-		return s.answerWhole(c, seq)
+		return s.sendWhole(c, seq)
 	}
-	return s.answerStream(c, seq, firstEvent(c))
+	return s.sendStream(c, seq, lastEventID(c))
 }
 
-// firstEvent is how many events the caller has already.
-func firstEvent(c *fiber.Ctx) int {
+// lastEventID returns the ID of the last event that the caller received. Events are numbered
+// from 1, so this is also the number of events to skip.
+func lastEventID(c *fiber.Ctx) int {
 	last, err := strconv.Atoi(c.Get(native.HeaderLastEvent))
 	if err != nil {
-		return 0 // none given, or none that this server gave
+		return 0 // missing, or not an ID of this server
 	}
 	return last
 }
@@ -63,43 +64,43 @@
 	return c.JSON(s.Runs())
 }
 
-func (s *Server) answerStream(c *fiber.Ctx, seq *sequence, events int) error {
-	offset := events * s.cfg.ChunkTokens
+func (s *Server) sendStream(c *fiber.Ctx, seq *sequence, skipEvents int) error {
+	offset := skipEvents * s.cfg.ChunkTokens
 	if offset < 0 || offset > len(seq.answer) {
 		s.scheduler.cancel(seq.attemptID)
-		return errors.Wrapf(ErrBadRequest, "event %d of an answer of %d tokens", events, len(seq.answer))
+		return errors.Wrapf(ErrBadRequest, "event %d of an answer of %d tokens", skipEvents, len(seq.answer))
 	}
 	c.Set(fiber.HeaderContentType, "text/event-stream")
 	response := &c.Context().Response
 	response.ImmediateHeaderFlush = true
-	response.SetBodyStream(&streamBody{eventReader: newEventReader(seq, offset, s.cfg.ChunkTokens), engine: s.scheduler}, -1)
+	response.SetBodyStream(&streamBody{eventReader: newEventReader(seq, offset, s.cfg.ChunkTokens), scheduler: s.scheduler}, -1)
 	return nil
 }
 
-// streamBody frees the engine when its reader has left.
+// streamBody cancels the attempt when the response is closed.
 type streamBody struct {
 	*eventReader
-	engine *scheduler
+	scheduler *scheduler
 }
 
 var _ io.ReadCloser = (*streamBody)(nil)
 
 // Close implements io.Closer.
 func (b *streamBody) Close() error {
-	b.engine.cancel(b.seq.attemptID)
+	b.scheduler.cancel(b.seq.attemptID)
 	return nil
 }
 
-// answerWhole answers in one piece, once all tokens are there.
-func (s *Server) answerWhole(c *fiber.Ctx, seq *sequence) error {
+// sendWhole sends a non-streamed response when all tokens are generated.
+func (s *Server) sendWhole(c *fiber.Ctx, seq *sequence) error {
 	defer s.scheduler.cancel(seq.attemptID)
 	for sent, ended := 0, false; sent < len(seq.answer); {
 		if sent, ended = seq.progress.wait(sent); ended && sent < len(seq.answer) {
-			return ErrUnavailable // stopped in the middle
+			return ErrUnavailable // the engine stopped before the last token
 		}
 	}
 	c.Set(native.HeaderOutput, strconv.Itoa(len(seq.answer)))
 	c.Status(http.StatusOK)
 	c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
-	return c.Send(wholeAnswer(seq))
+	return c.Send(answerJSON(seq))
 }
--- a/internal/enginestub/enginestub.go
+++ b/internal/enginestub/enginestub.go
@@ -1,11 +1,10 @@
-// Package enginestub stands in for backend servers in tests, trials and
-// rehearsals: a model engine (Server) and a plain service (Service). Both run
-// in process or as the program chicory-engine.
+// Package enginestub simulates backend servers for tests and load tests: a model engine
+// (Server) and a plain service (Service). Both run in process or as the program
+// chicory-engine.
 //
-// The engine speaks the protocol of package httpbackend. Its answers follow
-// from the request alone (see Answer), so that a load client can check them
-// byte for byte whichever engine gave them, and it records what it ran, so that
-// runs can be reconciled with bills.
+// The engine speaks the protocol of package native. Its answers depend only on the request
+// (see Answer), so that a load client can check them byte for byte whichever engine sent them.
+// It records its runs so that they can be reconciled with the charged tokens.
 package enginestub
 
 import (
@@ -25,43 +24,42 @@
 	DefaultChunkTokens   = 1
 )
 
-// Config sets up an engine. Zero values mean the defaults, and no time at all
-// for TokenTime and PromptTokenTime.
+// Config configures a Server. Fields with a Default constant use it if they are not positive.
 type Config struct {
-	// ID is the backend server's name: requests that are meant for another one are
-	// rejected. Empty: all are taken.
+	// ID is the name of the backend server. Requests for another one are rejected. Empty:
+	// all requests are accepted.
 	ID              string
-	Models          []string // loaded models; none: any model is served
-	Slots           int      // sequences that run at once
-	MaxWaiting      int      // sequences that wait before new ones get 429
-	TokenTime       time.Duration
-	PromptTokenTime time.Duration // for each prompt token that isn't cached
-	BytesPerToken   int
-	ChunkTokens     int // most tokens of one chunk
-	CacheTokens     int // size of the prefix cache; 0: none
-	// CrashMarker in a prompt makes the engine crash when that request has
-	// CrashAfterTokens tokens, or all but the last. Empty: never.
+	Models          []string      // loaded models; empty: any model is served
+	Slots           int           // maximum number of running sequences
+	MaxWaiting      int           // maximum number of waiting sequences; more are rejected with 429
+	TokenTime       time.Duration // per output token; 0: full speed
+	PromptTokenTime time.Duration // per prompt token that is not cached
+	BytesPerToken   int           // of the prompt
+	ChunkTokens     int           // output tokens per streamed chunk
+	CacheTokens     int           // size of the prefix cache; 0: no cache
+	// CrashMarker in a prompt makes the engine crash after CrashAfterTokens output tokens of
+	// that request, at the latest before its last token. Empty: never.
 	CrashMarker      string
 	CrashAfterTokens int
 	// ActivityLog receives one JSON line for each action of the engine when it happens; see
 	// ReadActivityLog. Nil disables the log.
 	ActivityLog io.Writer
-	// OnCrash is called once after a crash has closed all connections. It must
-	// not call the Server.
+	// OnCrash is called once after a crash has closed all connections. It must not call
+	// methods of the Server, because the scheduler's lock is held.
 	OnCrash func()
 }
 
-// Server is a model engine.
+// Server simulates a model engine.
 type Server struct {
 	*httpServer
-	cfg       Config
-	scheduler *scheduler
-	attempts  atomic.Int64 // so far
-	tasks     conc.WaitGroup
+	cfg          Config
+	scheduler    *scheduler
+	attemptCount atomic.Int64
+	tasks        conc.WaitGroup
 }
 
-// New makes an engine whose scheduler runs until Close or a crash. now is its
-// clock; without one it is time.Now.
+// New returns a Server whose scheduler runs until Close or a crash. The optional now replaces
+// time.Now.
 func New(cfg Config, now ...func() time.Time) *Server {
 	cfg = cfg.withDefaults()
 	clock := time.Now
@@ -69,8 +67,8 @@
 		clock = now[0]
 	}
 	s := &Server{httpServer: newHTTPServer(cfg.ID, cfg.ActivityLog), cfg: cfg}
-	s.scheduler = newScheduler(cfg, clock, s.evidence, s.crash)
-	s.routes()
+	s.scheduler = newScheduler(cfg, clock, s.activity, s.crash)
+	s.addRoutes()
 	s.tasks.Go(s.scheduler.loop)
 	return s
 }
@@ -83,18 +81,18 @@
 	s.tasks.Wait()
 }
 
-// Drain makes the engine refuse new work and report that it is leaving.
-// Running and waiting requests go on.
+// Drain makes the engine reject new requests with status 503. Running and waiting ones are
+// completed.
 func (s *Server) Drain() {
-	s.scheduler.setLeaving()
+	s.scheduler.setDraining()
 }
 
-// Idle tells whether nothing runs or waits.
+// Idle reports whether no request is running or waiting.
 func (s *Server) Idle() bool {
 	return s.scheduler.idle()
 }
 
-// Pause stalls the engine: it takes requests but makes no tokens.
+// Pause stalls the engine: it accepts requests but generates no tokens.
 func (s *Server) Pause() {
 	s.scheduler.setPaused(true)
 }
@@ -104,13 +102,13 @@
 	s.scheduler.setPaused(false)
 }
 
-// Runs tells what was run for each request.
+// Runs returns a report of the attempts of all requests.
 func (s *Server) Runs() RunReport {
 	return s.scheduler.runReport()
 }
 
-// crash is called by the scheduler under its lock; the connections close
-// before any further token can be read.
+// crash is called by the scheduler with its lock held so that the connections are closed before
+// any further token can be read.
 func (s *Server) crash() {
 	s.kill()
 	if s.cfg.OnCrash != nil {
@@ -118,13 +116,13 @@
 	}
 }
 
-// name names one attempt of a request, and the request itself if it came without an id.
-func (s *Server) name(given string) (request, attempt string) {
-	number := strconv.FormatInt(s.attempts.Add(1), 10)
-	if given == "" {
-		given = "unnamed-" + number
+// newIDs returns the IDs of a request and of its new attempt. A request without an ID gets one.
+func (s *Server) newIDs(givenID string) (requestID, attemptID string) {
+	number := strconv.FormatInt(s.attemptCount.Add(1), 10)
+	if givenID == "" {
+		givenID = "unnamed-" + number
 	}
-	return given, given + "#" + number
+	return givenID, givenID + "#" + number
 }
 
 func (cfg Config) withDefaults() Config {
--- a/internal/enginestub/enginestub_test.go
+++ b/internal/enginestub/enginestub_test.go
@@ -22,7 +22,7 @@
 
 // idleScheduler is a scheduler whose loop doesn't run: the test steps it.
 func idleScheduler(cfg Config) *scheduler {
-	return newScheduler(cfg.withDefaults(), fixedClock, &evidence{}, func() {})
+	return newScheduler(cfg.withDefaults(), fixedClock, &activityLogger{}, func() {})
 }
 
 func userRequest(content string, maxTokens, priority int) *request {
@@ -79,7 +79,7 @@
 		starts[run.Attempts[0].Attempt] = run.Attempts[0].Start
 	}
 	c.Assert(starts, qt.DeepEquals, map[string]int{"2": 1, "1": 2, "3": 3, "0": 4, "4": 0})
-	c.Assert(e.outstanding, qt.Equals, 0)
+	c.Assert(e.outstandingTokens, qt.Equals, 0)
 }
 
 func TestTokensBecomeDue(t *testing.T) {
@@ -102,7 +102,7 @@
 	submit(c, e, "4", userRequest("len=900", 0, 0))
 	e.step(start)
 	e.cancel("4")
-	c.Assert(e.outstanding, qt.Equals, 0)
+	c.Assert(e.outstandingTokens, qt.Equals, 0)
 }
 
 func TestRefusals(t *testing.T) {
@@ -117,7 +117,7 @@
 	c.Assert(err, qt.ErrorIs, ErrDuplicateAttempt)
 	_, err = e.submit("r", "2", userRequest("x", 0, 0))
 	c.Assert(err, qt.ErrorIs, ErrQueueFull)
-	e.setLeaving()
+	e.setDraining()
 	_, err = e.submit("r", "3", userRequest("x", 0, 0))
 	c.Assert(err, qt.ErrorIs, ErrUnavailable)
 	c.Assert(e.runReport().Totals.Attempts, qt.Equals, 1)
@@ -131,7 +131,7 @@
 			c := qt.New(t)
 			crashes := 0
 			cfg := Config{CrashMarker: "BOOM", CrashAfterTokens: 10}
-			e := newScheduler(cfg.withDefaults(), fixedClock, &evidence{}, func() { crashes++ })
+			e := newScheduler(cfg.withDefaults(), fixedClock, &activityLogger{}, func() { crashes++ })
 			marked := submit(c, e, "1", userRequest(content, 0, 0))
 			other := submit(c, e, "2", userRequest("len=90", 0, 0))
 			for range 5 {
@@ -254,7 +254,7 @@
 			req.SetRequestURI("http://" + listener.Addr().String() + "/v1/chat/completions")
 			req.Header.SetMethod(fasthttp.MethodPost)
 			length := b.N/streams + 1
-			req.SetBodyString(fmt.Sprintf(`{"stream":true,"messages":[{"role":"user","content":"len=%d"}]}`, min(length, fixedLengthLimit)))
+			req.SetBodyString(fmt.Sprintf(`{"stream":true,"messages":[{"role":"user","content":"len=%d"}]}`, min(length, maxFixedLength)))
 			client := fasthttp.Client{StreamResponseBody: true}
 			c.Check(client.Do(req, resp), qt.IsNil)
 			n, copyErr := io.Copy(io.Discard, resp.BodyStream())
--- a/internal/enginestub/events.go
+++ b/internal/enginestub/events.go
@@ -7,21 +7,21 @@
 	"strings"
 )
 
-// batchBytes is how many bytes of events are made for one write. A step of
-// many tokens then costs one write instead of many.
+// batchBytes is the size up to which events are combined into one write. A step of many tokens
+// then needs one write instead of many.
 const batchBytes = 4 << 10
 
-// eventReader gives a sequence's tokens, from an offset on, as server-sent
-// events. The HTTP server reads from it at the pace of the connection.
+// eventReader encodes a sequence's tokens from an offset on as server-sent events. The HTTP
+// server reads from it as fast as the connection allows.
 type eventReader struct {
 	seq         *sequence
-	sent        int // tokens already made into events
+	sent        int // encoded tokens
 	chunkTokens int
-	head        []byte // the part of every chunk before its choices
-	pending     []byte
-	unread      []byte // the rest of pending
-	done        bool   // all events are made
-	cut         bool   // the engine stopped before the end
+	chunkPrefix []byte // JSON of every chunk before its choices
+	buf         []byte
+	unread      []byte // rest of buf
+	done        bool   // all events are encoded
+	truncated   bool   // the sequence was cancelled or the engine stopped before its last token
 }
 
 func newEventReader(seq *sequence, offset, chunkTokens int) *eventReader {
@@ -29,16 +29,16 @@
 		seq:         seq,
 		sent:        offset,
 		chunkTokens: chunkTokens,
-		head:        chunkHead(seq),
+		chunkPrefix: encodeChunkPrefix(seq),
 	}
 }
 
-// Read blocks until there is an event. A sequence that was cancelled or cut off
-// by a crash ends without a finish reason.
+// Read blocks until an event is available. The events of a sequence that was cancelled or
+// interrupted by a crash end with io.ErrUnexpectedEOF and without a finish reason.
 func (r *eventReader) Read(p []byte) (int, error) {
 	if len(r.unread) == 0 {
-		if r.cut {
-			return 0, io.ErrUnexpectedEOF // no proper end: the answer isn't whole
+		if r.truncated {
+			return 0, io.ErrUnexpectedEOF
 		}
 		if r.done {
 			return 0, io.EOF
@@ -50,13 +50,14 @@
 	return n, nil
 }
 
-// fill makes the events of the tokens that there are, up to about batchBytes.
+// fill waits for the next chunk and encodes the generated tokens, up to about batchBytes.
 func (r *eventReader) fill() {
 	generated, ended := r.seq.progress.wait(min(r.sent+r.chunkTokens, len(r.seq.answer)) - 1)
 	total := len(r.seq.answer)
-	r.pending = r.pending[:0]
-	// A chunk is whole unless it is the last, so that its number tells its tokens.
-	for (generated-r.sent >= r.chunkTokens || generated == total && r.sent < total) && len(r.pending) < batchBytes {
+	r.buf = r.buf[:0]
+	// Only the last chunk may have fewer than chunkTokens tokens: the event ID determines the
+	// number of tokens sent before.
+	for (generated-r.sent >= r.chunkTokens || generated == total && r.sent < total) && len(r.buf) < batchBytes {
 		r.appendChunk(min(r.chunkTokens, generated-r.sent))
 	}
 	switch {
@@ -64,21 +65,21 @@
 		r.appendEnd()
 		r.done = true
 	case ended && generated < total:
-		r.done, r.cut = true, true
+		r.done, r.truncated = true, true
 	}
-	r.unread = r.pending
+	r.unread = r.buf
 }
 
-// appendChunk appends the event of the next tokens. It is written field by
-// field around the pre-encoded vocabulary, as this is the stub's hottest path;
-// TestChunksAreJSON checks the result against a JSON library.
+// appendChunk appends the event of the next tokens. It assembles the JSON by hand from the
+// encoded vocabulary, because this is the hottest path of the package. TestChunksAreJSON checks
+// the result with encoding/json.
 func (r *eventReader) appendChunk(tokens int) {
 	offset := r.sent
 	r.sent += tokens
-	b := append(r.pending, "id: "...)
+	b := append(r.buf, "id: "...)
 	b = strconv.AppendInt(b, int64((r.sent+r.chunkTokens-1)/r.chunkTokens), 10)
 	b = append(b, "\ndata: "...)
-	b = append(b, r.head...)
+	b = append(b, r.chunkPrefix...)
 	b = append(b, `"choices":[{"index":0,"delta":{"content":"`...)
 	for _, index := range r.seq.answer[offset:r.sent] {
 		quoted := vocabularyJSON[index]
@@ -86,27 +87,27 @@
 	}
 	b = append(b, `"},"finish_reason":`...)
 	if r.sent == len(r.seq.answer) {
-		b = strconv.AppendQuote(b, r.seq.finish)
+		b = strconv.AppendQuote(b, r.seq.finishReason)
 	} else {
 		b = append(b, "null"...)
 	}
-	r.pending = append(b, "}]}\n\n"...)
+	r.buf = append(b, "}]}\n\n"...)
 }
 
-// appendEnd appends the usage, if it was asked for, and the end mark.
+// appendEnd appends the usage, if requested, and the "[DONE]" event.
 func (r *eventReader) appendEnd() {
 	if r.seq.req.includeUsage {
-		r.pending = append(r.pending, "data: "...)
-		r.pending = append(r.pending, r.head...)
-		r.pending = append(r.pending, `"choices":[],"usage":`...)
-		r.pending = append(r.pending, usageJSON(r.seq)...)
-		r.pending = append(r.pending, "}\n\n"...)
+		r.buf = append(r.buf, "data: "...)
+		r.buf = append(r.buf, r.chunkPrefix...)
+		r.buf = append(r.buf, `"choices":[],"usage":`...)
+		r.buf = append(r.buf, usageJSON(r.seq)...)
+		r.buf = append(r.buf, "}\n\n"...)
 	}
-	r.pending = append(r.pending, "data: [DONE]\n\n"...)
+	r.buf = append(r.buf, "data: [DONE]\n\n"...)
 }
 
-// chunkHead gives the opening brace and the fields that all chunks share.
-func chunkHead(seq *sequence) []byte {
+// encodeChunkPrefix returns the opening brace and the fields that are equal in all chunks.
+func encodeChunkPrefix(seq *sequence) []byte {
 	fields := struct {
 		ID      string `json:"id"`
 		Object  string `json:"object"`
@@ -118,7 +119,7 @@
 	return encoded
 }
 
-// usage is the OpenAI form of what a request used.
+// usage is the token usage of a request in the format of the OpenAI API.
 type usage struct {
 	PromptTokens     int           `json:"prompt_tokens"`
 	CompletionTokens int           `json:"completion_tokens"`
@@ -130,7 +131,8 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// usageJSON is only called after the sequence's end, when run is settled.
+// usageJSON encodes the usage of a sequence. It must only be called after the end of the
+// sequence, when the scheduler no longer changes its run.
 func usageJSON(seq *sequence) []byte {
 	return mustMarshal(usage{
 		PromptTokens:     seq.run.PromptTokens,
@@ -140,7 +142,7 @@
 	})
 }
 
-// mustMarshal encodes plain structs of strings and numbers, which can't fail.
+// mustMarshal encodes values of strings and numbers, which cannot fail.
 func mustMarshal(v any) []byte {
 	encoded, err := json.Marshal(v)
 	if err != nil {
@@ -149,11 +151,11 @@
 	return encoded
 }
 
-// wholeAnswer is an answer in one piece, in OpenAI's shape.
-func wholeAnswer(seq *sequence) []byte {
+// answerJSON returns the response of a non-streamed request in the format of the OpenAI API.
+func answerJSON(seq *sequence) []byte {
 	text := strings.Builder{}
 	for _, index := range seq.answer {
-		_, _ = text.WriteString(vocabulary[index]) // a builder takes everything
+		_, _ = text.WriteString(vocabulary[index]) // never fails
 	}
 	type message struct {
 		Role    string `json:"role"`
@@ -172,5 +174,5 @@
 		Choices []choice        `json:"choices"`
 		Usage   json.RawMessage `json:"usage"`
 	}{seq.requestID, "chat.completion", seq.created.Unix(), seq.req.model,
-		[]choice{{Message: message{Role: "assistant", Content: text.String()}, FinishReason: seq.finish}}, usageJSON(seq)})
+		[]choice{{Message: message{Role: "assistant", Content: text.String()}, FinishReason: seq.finishReason}}, usageJSON(seq)})
 }
--- a/internal/enginestub/evidence.go
+++ b/internal/enginestub/evidence.go
@@ -10,45 +10,45 @@
 	"github.com/pkg/errors"
 )
 
-// evidenceKind is what a line of evidence tells of.
-type evidenceKind string
+// activityKind is the kind of an activityRecord.
+type activityKind string
 
-// Kinds of evidence.
 const (
-	processStarted  evidenceKind = "started"
-	limitNamed      evidenceKind = "limit_named"
-	requestArrived  evidenceKind = "arrived"
-	requestAnswered evidenceKind = "answered" // the head of its answer was sent
-	runBegan        evidenceKind = "run_began"
+	processStarted   activityKind = "started"
+	rateLimitChanged activityKind = "limit_named"
+	requestArrived   activityKind = "arrived"
+	requestAnswered  activityKind = "answered" // the response header was sent
+	runStarted       activityKind = "run_began"
 )
 
-// evidenceLine is one line of evidence.
-type evidenceLine struct {
-	Kind    evidenceKind `json:"kind"`
+// activityRecord is one line of an activity log.
+type activityRecord struct {
+	Kind    activityKind `json:"kind"`
 	At      time.Time    `json:"at"`
 	Request string       `json:"request,omitempty"`
-	Limit   string       `json:"limit,omitempty"`
+	Limit   string       `json:"limit,omitempty"` // advertised rate limit
 }
 
-// evidence writes down what a stand-in does as it happens: what is kept in memory is lost with
-// a process that is killed.
-type evidence struct {
-	mu  sync.Mutex
-	out io.Writer // nil: nothing is written
+// activityLogger writes each activity when it happens: records in memory would be lost if the
+// process is killed.
+type activityLogger struct {
+	mu sync.Mutex
+	w  io.Writer // nil disables the log
 }
 
-func (e *evidence) note(line evidenceLine) {
-	if e.out == nil {
+func (l *activityLogger) log(record activityRecord) {
+	if l.w == nil {
 		return
 	}
-	data, err := json.Marshal(line)
+	data, err := json.Marshal(record)
 	if err != nil {
-		panic(err) // plain strings and times always encode
+		panic(err) // cannot happen: strings and the current time always encode
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	// A judge finds what is missing: a request that was answered and never arrived.
-	_, _ = e.out.Write(append(data, '\n'))
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	// Write errors can be ignored: the check of the log reports an answered request without
+	// an arrival.
+	_, _ = l.w.Write(append(data, '\n'))
 }
 
 // ActivityLog is the decoded activity log of one backend server. Each restart of the server
@@ -61,46 +61,46 @@
 }
 
 // ErrMalformedLog is returned for an activity log that cannot be decoded.
-var ErrMalformedLog = errors.New("enginestub: unreadable evidence")
+var ErrMalformedLog = errors.New("enginestub: malformed activity log")
 
 // ReadActivityLog decodes the lines that a Server wrote to Config.ActivityLog.
 func ReadActivityLog(r io.Reader) (ActivityLog, error) {
-	found := ActivityLog{Runs: make(map[string]int)}
-	lines := bufio.NewScanner(r)
-	for lines.Scan() {
-		line := evidenceLine{}
-		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
+	activity := ActivityLog{Runs: make(map[string]int)}
+	scanner := bufio.NewScanner(r)
+	for scanner.Scan() {
+		record := activityRecord{}
+		if err := json.Unmarshal(scanner.Bytes(), &record); err != nil {
 			return ActivityLog{}, errors.Wrap(ErrMalformedLog, err.Error())
 		}
-		if line.Kind == processStarted {
-			found.Processes = append(found.Processes, ProcessActivity{})
+		if record.Kind == processStarted {
+			activity.Processes = append(activity.Processes, ProcessActivity{})
 			continue
 		}
-		if len(found.Processes) == 0 {
-			return ActivityLog{}, errors.Wrap(ErrMalformedLog, "no start")
+		if len(activity.Processes) == 0 {
+			return ActivityLog{}, errors.Wrap(ErrMalformedLog, "record before the first process start")
 		}
-		found.add(line)
+		activity.add(record)
 	}
-	return found, errors.Wrap(lines.Err(), "evidence")
+	return activity, errors.Wrap(scanner.Err(), "evidence")
 }
 
-// add takes a line of the newest process.
-func (e *ActivityLog) add(line evidenceLine) {
-	report := &e.Processes[len(e.Processes)-1]
-	switch line.Kind {
-	case limitNamed:
-		report.RateLimits = append(report.RateLimits, RateLimitChange{At: line.At, Limit: line.Limit})
+// add adds a record to the newest process.
+func (l *ActivityLog) add(record activityRecord) {
+	report := &l.Processes[len(l.Processes)-1]
+	switch record.Kind {
+	case rateLimitChanged:
+		report.RateLimits = append(report.RateLimits, RateLimitChange{At: record.At, Limit: record.Limit})
 	case requestArrived:
-		report.Arrivals = append(report.Arrivals, Arrival{Request: line.Request, At: line.At, Limit: line.Limit})
+		report.Arrivals = append(report.Arrivals, Arrival{Request: record.Request, At: record.At, Limit: record.Limit})
 	case requestAnswered:
-		report.answered(line.Request, line.At)
-	case runBegan:
-		e.Runs[line.Request]++
+		report.markAnswered(record.Request, record.At)
+	case runStarted:
+		l.Runs[record.Request]++
 	}
 }
 
-// answered notes when the newest arrival of a request that has no answer yet was answered.
-func (r *ProcessActivity) answered(request string, at time.Time) {
+// markAnswered sets the answer time of the request's newest arrival that has none yet.
+func (r *ProcessActivity) markAnswered(request string, at time.Time) {
 	for i := len(r.Arrivals) - 1; i >= 0; i-- {
 		if a := &r.Arrivals[i]; a.Request == request && a.Answered.IsZero() {
 			a.Answered = at
--- a/internal/enginestub/evidence_test.go
+++ b/internal/enginestub/evidence_test.go
@@ -37,7 +37,7 @@
 func askOnce(c *qt.C, written *bytes.Buffer, request string) {
 	s := New(Config{ActivityLog: written})
 	defer s.Close()
-	s.limit.set("1.2")
+	s.rateLimit.set("1.2")
 	r, err := http.NewRequest(http.MethodPost, "http://engine/v1/chat/completions",
 		strings.NewReader(`{"model":"m","messages":[{"role":"user","content":"len=3"}]}`))
 	c.Assert(err, qt.IsNil)
--- a/internal/enginestub/httpserver.go
+++ b/internal/enginestub/httpserver.go
@@ -10,20 +10,19 @@
 	"github.com/pkg/errors"
 )
 
-// Limits of the HTTP server.
 const (
 	maxBodyBytes     = 16 << 20
 	idleTimeout      = time.Minute
 	shutdownDeadline = 2 * time.Second
 )
 
-// httpServer serves a fiber app on one listener and can break all its connections
-// at once, as the death of the process would.
+// httpServer serves a fiber app on one listener and can close all its connections at once to
+// simulate a killed process.
 type httpServer struct {
-	id       string // of the backend server; empty: requests for any are taken
-	app      *fiber.App
-	limit    rateLimit
-	evidence *evidence
+	id        string // name of the backend server; empty: accept requests for any
+	app       *fiber.App
+	rateLimit advertisedLimit
+	activity  *activityLogger
 
 	mu       sync.Mutex
 	closed   bool
@@ -31,26 +30,26 @@
 	conns    map[net.Conn]struct{}
 }
 
-func newHTTPServer(id string, written io.Writer) *httpServer {
-	noted := &evidence{out: written}
-	noted.note(evidenceLine{Kind: processStarted, At: time.Now()})
+func newHTTPServer(id string, activityLog io.Writer) *httpServer {
+	activity := &activityLogger{w: activityLog}
+	activity.log(activityRecord{Kind: processStarted, At: time.Now()})
 	h := &httpServer{
 		id: id,
 		app: fiber.New(fiber.Config{
 			DisableStartupMessage: true,
 			BodyLimit:             maxBodyBytes,
 			IdleTimeout:           idleTimeout,
-			ErrorHandler:          answerError,
+			ErrorHandler:          handleError,
 		}),
-		conns:    make(map[net.Conn]struct{}),
-		limit:    rateLimit{now: time.Now, evidence: noted},
-		evidence: noted,
+		conns:     make(map[net.Conn]struct{}),
+		rateLimit: advertisedLimit{now: time.Now, activity: activity},
+		activity:  activity,
 	}
-	h.rateLimitRoutes()
+	h.addRateLimitRoute()
 	return h
 }
 
-// Serve answers on the listener until Close.
+// Serve serves requests on the listener until Close.
 func (h *httpServer) Serve(listener net.Listener) error {
 	h.mu.Lock()
 	if h.closed {
@@ -66,7 +65,7 @@
 	return nil
 }
 
-// Addr is the listener's "IP:port"; empty before Serve.
+// Addr returns the listener's "IP:port"; it is empty before Serve.
 func (h *httpServer) Addr() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -87,8 +86,8 @@
 	clear(h.conns)
 }
 
-// Shutdown takes no further connection and waits, up to limit, until the open
-// answers are sent. Close has to follow.
+// Shutdown stops accepting connections and waits, up to limit, until all responses are sent.
+// Close must be called afterwards.
 func (h *httpServer) Shutdown(limit time.Duration) error {
 	return errors.Wrap(h.app.ShutdownWithTimeout(limit), "shut down")
 }
@@ -104,7 +103,7 @@
 	h.CloseClientConnections()
 }
 
-// shutdown frees what is left after kill.
+// shutdown stops the fiber app after kill.
 func (h *httpServer) shutdown() {
 	_ = h.app.ShutdownWithTimeout(shutdownDeadline)
 }
@@ -115,9 +114,9 @@
 	return h.closed
 }
 
-// add notes a new connection. One that was accepted while kill ran is closed,
-// else it would outlive the crash and still be answered.
-func (h *httpServer) add(conn net.Conn) {
+// addConn registers a new connection. A connection that was accepted during kill is closed, or
+// else it would outlive the crash and its requests would be answered.
+func (h *httpServer) addConn(conn net.Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.closed {
@@ -127,36 +126,36 @@
 	h.conns[conn] = struct{}{}
 }
 
-func (h *httpServer) remove(conn net.Conn) {
+func (h *httpServer) removeConn(conn net.Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.conns, conn)
 }
 
-// trackedListener tells the server of its connections.
+// trackedListener registers its connections at the server.
 type trackedListener struct {
 	net.Listener
 	server *httpServer
 }
 
-// Accept waits for the next connection.
+// Accept implements net.Listener.
 func (l *trackedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	l.server.add(conn)
+	l.server.addConn(conn)
 	return &trackedConn{Conn: conn, server: l.server}, nil
 }
 
-// trackedConn leaves the server's set when it is closed.
+// trackedConn removes itself from the server when it is closed.
 type trackedConn struct {
 	net.Conn
 	server *httpServer
 }
 
-// Close closes the connection.
+// Close implements net.Conn.
 func (c *trackedConn) Close() error {
-	c.server.remove(c.Conn)
+	c.server.removeConn(c.Conn)
 	return c.Conn.Close()
 }
--- a/internal/enginestub/prefixcache.go
+++ b/internal/enginestub/prefixcache.go
@@ -6,26 +6,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// blockTokens is how many prompt tokens one block of the prefix cache holds.
+// blockTokens is the number of prompt tokens in a block of the prefix cache.
 const blockTokens = 16
 
-// prefixCache remembers which prompt prefixes the engine holds, in blocks, of
-// which the least recently used go first.
+// prefixCache simulates the prefix cache of an engine: an LRU cache of prompt blocks.
 type prefixCache struct {
 	capacity int // blocks
 	blocks   map[uint64]*list.Element
-	order    *list.List // of block hashes, the latest used in front
+	lru      *list.List // of block hashes, most recently used first
 }
 
 func newPrefixCache(capacityTokens int) *prefixCache {
 	return &prefixCache{
 		capacity: capacityTokens / blockTokens,
 		blocks:   make(map[uint64]*list.Element),
-		order:    list.New(),
+		lru:      list.New(),
 	}
 }
 
-// use returns how many leading blocks are cached, and then caches all blocks.
+// use returns the number of leading blocks that are cached, and then caches all blocks.
 func (c *prefixCache) use(hashes []uint64) int {
 	if c.capacity == 0 {
 		return 0
@@ -34,7 +33,8 @@
 	for hits < len(hashes) && c.blocks[hashes[hits]] != nil {
 		hits++
 	}
-	// The first blocks are touched last: a prefix is of no use without them.
+	// The first blocks are touched last so that they are evicted last: a later block is useless
+	// without the ones before it.
 	for i := min(len(hashes), c.capacity) - 1; i >= 0; i-- {
 		c.touch(hashes[i])
 	}
@@ -44,20 +44,20 @@
 func (c *prefixCache) touch(hash uint64) {
 	element := c.blocks[hash]
 	if element != nil {
-		c.order.MoveToFront(element)
+		c.lru.MoveToFront(element)
 		return
 	}
-	c.blocks[hash] = c.order.PushFront(hash)
+	c.blocks[hash] = c.lru.PushFront(hash)
 	if len(c.blocks) <= c.capacity {
 		return
 	}
-	oldest := c.order.Back()
-	c.order.Remove(oldest)
+	oldest := c.lru.Back()
+	c.lru.Remove(oldest)
 	delete(c.blocks, oldest.Value.(uint64))
 }
 
-// prefixHashes gives one hash for each whole block of the prompt. Each covers
-// the model and all the blocks before it.
+// prefixHashes returns a hash for each full block of the prompt. It covers the model, the block
+// and all blocks before it.
 func prefixHashes(model, prompt string, bytesPerToken int) []uint64 {
 	blockBytes := blockTokens * bytesPerToken
 	hashes := make([]uint64, 0, len(prompt)/blockBytes)
--- a/internal/enginestub/ratelimit.go
+++ b/internal/enginestub/ratelimit.go
@@ -28,54 +28,54 @@
 	Limit string
 }
 
-// Arrival is one request.
+// Arrival is a received request.
 type Arrival struct {
-	Request string
+	Request string // request ID
 	At      time.Time
-	// Answered is when the head of its answer was sent; zero: never.
+	// Answered is the time when the response header was sent; zero: never.
 	Answered time.Time
-	// Limit is what the answer named; empty: nothing.
+	// Limit is the rate limit advertised in the response; empty: none.
 	Limit string
 }
 
-// rateLimit names a limit in all answers and notes what arrives. It keeps to none itself:
-// that is for the routers.
-type rateLimit struct {
+// advertisedLimit sets the rate limit header in all responses and logs the requests. It does
+// not enforce the limit: the routers must do that.
+type advertisedLimit struct {
 	now      func() time.Time
-	evidence *evidence
+	activity *activityLogger
 
 	mu    sync.Mutex
 	limit string
 }
 
-// set names another limit from now on.
-func (l *rateLimit) set(limit string) {
+func (l *advertisedLimit) set(limit string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limit = limit
-	l.evidence.note(evidenceLine{Kind: limitNamed, At: l.now(), Limit: limit})
+	l.activity.log(activityRecord{Kind: rateLimitChanged, At: l.now(), Limit: limit})
 }
 
-// arrived notes a request and returns the limit to name.
-func (l *rateLimit) arrived(request string) string {
+// recordArrival logs a request and returns the limit to advertise in its response.
+func (l *advertisedLimit) recordArrival(requestID string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.evidence.note(evidenceLine{Kind: requestArrived, At: l.now(), Request: request, Limit: l.limit})
+	l.activity.log(activityRecord{Kind: requestArrived, At: l.now(), Request: requestID, Limit: l.limit})
 	return l.limit
 }
 
-// handle names the limit in an answer and notes when it was sent.
-func (l *rateLimit) handle(c *fiber.Ctx, request string) error {
-	if limit := l.arrived(request); limit != "" {
+// handle is a middleware that sets the rate limit header and logs the request's arrival and
+// answer.
+func (l *advertisedLimit) handle(c *fiber.Ctx, requestID string) error {
+	if limit := l.recordArrival(requestID); limit != "" {
 		c.Set(native.HeaderRateLimit, limit)
 	}
-	defer func() { l.evidence.note(evidenceLine{Kind: requestAnswered, At: l.now(), Request: request}) }()
+	defer func() { l.activity.log(activityRecord{Kind: requestAnswered, At: l.now(), Request: requestID}) }()
 	return c.Next()
 }
 
-func (h *httpServer) rateLimitRoutes() {
+func (h *httpServer) addRateLimitRoute() {
 	h.app.Post(RateLimitPath, func(c *fiber.Ctx) error {
-		h.limit.set(strings.Clone(string(c.Body())))
+		h.rateLimit.set(strings.Clone(string(c.Body())))
 		return nil
 	})
 }
--- a/internal/enginestub/request.go
+++ b/internal/enginestub/request.go
@@ -7,16 +7,16 @@
 	"github.com/valyala/fastjson"
 )
 
-// ErrBadRequest: a body is no chat-completions request.
+// ErrBadRequest is returned for invalid request bodies and event IDs.
 var ErrBadRequest = errors.New("enginestub: bad request")
 
 var parsers fastjson.ParserPool
 
-// request is what the stub uses of a chat-completions request.
+// request holds the fields of a chat-completions request that the engine uses.
 type request struct {
 	model        string
 	prompt       string // roles and content of all messages
-	contentBytes int    // content alone, which prompt tokens are counted from
+	contentBytes int    // length of the content alone; determines the number of prompt tokens
 	maxTokens    int
 	priority     int
 	stream       bool
@@ -52,8 +52,8 @@
 	return req, nil
 }
 
-// writeContent appends a message's content, which is a string or a list of
-// parts with text, and returns its bytes.
+// writeContent appends a message's content, which is a string or a list of parts with text, and
+// returns its length.
 func writeContent(prompt *strings.Builder, content *fastjson.Value) int {
 	if content == nil {
 		return 0
@@ -70,7 +70,7 @@
 	return total
 }
 
-// promptTokens is ceil(contentBytes / bytesPerToken).
+// promptTokens returns ceil(contentBytes / bytesPerToken).
 func (r *request) promptTokens(bytesPerToken int) int {
 	return (r.contentBytes + bytesPerToken - 1) / bytesPerToken
 }
--- a/internal/enginestub/runs.go
+++ b/internal/enginestub/runs.go
@@ -1,9 +1,8 @@
 package enginestub
 
-// RunState is how far an attempt came.
+// RunState is the state of an attempt.
 type RunState string
 
-// States of an attempt.
 const (
 	RunWaiting   RunState = "waiting"
 	RunRunning   RunState = "running"
@@ -11,17 +10,17 @@
 	RunCancelled RunState = "cancelled"
 )
 
-// AttemptRun is what the engine did for one attempt.
+// AttemptRun describes how the engine ran one attempt.
 type AttemptRun struct {
 	Attempt      string   `json:"attempt"`
 	State        RunState `json:"state"`
-	Start        int      `json:"start"` // place in the order of starts; 0: never started
+	Start        int      `json:"start"` // position in the order of starts, from 1; 0: not started
 	Tokens       int      `json:"tokens"`
 	PromptTokens int      `json:"prompt_tokens"`
 	CachedTokens int      `json:"cached_tokens"`
 }
 
-// Run is what the engine did for one request.
+// Run holds the attempts of one request.
 type Run struct {
 	Request  string       `json:"request"`
 	Attempts []AttemptRun `json:"attempts"`
@@ -35,16 +34,16 @@
 	PromptTokens int `json:"prompt_tokens"`
 }
 
-// RunReport is the answer to GET /v1/runs.
+// RunReport is the response to GET /v1/runs.
 type RunReport struct {
 	Totals RunTotals `json:"totals"`
 	Runs   []Run     `json:"runs"`
 }
 
-// runLog records what ran, for reconciliation with bills.
+// runLog records all attempts for reconciliation with the charged tokens.
 type runLog struct {
-	order    []string // request ids by first arrival
-	attempts map[string][]*AttemptRun
+	requestIDs []string // in the order of first arrival
+	attempts   map[string][]*AttemptRun
 }
 
 func newRunLog() *runLog {
@@ -53,15 +52,15 @@
 
 func (l *runLog) add(request string, run *AttemptRun) {
 	if l.attempts[request] == nil {
-		l.order = append(l.order, request)
+		l.requestIDs = append(l.requestIDs, request)
 	}
 	l.attempts[request] = append(l.attempts[request], run)
 }
 
 func (l *runLog) report() RunReport {
-	report := RunReport{Runs: make([]Run, 0, len(l.order))}
-	report.Totals.Requests = len(l.order)
-	for _, request := range l.order {
+	report := RunReport{Runs: make([]Run, 0, len(l.requestIDs))}
+	report.Totals.Requests = len(l.requestIDs)
+	for _, request := range l.requestIDs {
 		run := Run{Request: request}
 		for _, attempt := range l.attempts[request] {
 			run.Attempts = append(run.Attempts, *attempt)
--- a/internal/enginestub/scheduler.go
+++ b/internal/enginestub/scheduler.go
@@ -7,45 +7,45 @@
 	"time"
 )
 
-// fullSpeedTokens is how many tokens of a sequence one step makes when the
-// engine has no time per token.
-const fullSpeedTokens = 8
+// untimedStepTokens is the number of tokens of a sequence that one step generates if
+// Config.TokenTime is 0.
+const untimedStepTokens = 8
 
-// minTick is the shortest sleep between two steps; shorter ones only burn the
-// processor, and a step makes up for all the tokens that became due.
-const minTick = time.Millisecond
+// minSleep is the shortest sleep between two steps. Shorter sleeps only waste CPU time: a step
+// generates all tokens that became due.
+const minSleep = time.Millisecond
 
-// scheduler runs the sequences with continuous batching: up to Slots at once,
-// a free slot goes to the best of the waiting at the next step.
+// scheduler runs sequences with continuous batching: up to Config.Slots at once. At the next
+// step a free slot goes to the first sequence of the waiting heap.
 type scheduler struct {
 	cfg      Config
 	now      func() time.Time
-	evidence *evidence
+	activity *activityLogger
 	onCrash  func()
 	wake     chan struct{}
 	quit     chan struct{}
 
-	mu          sync.Mutex
-	waiting     waitingHeap
-	running     []*sequence
-	byAttempt   map[string]*sequence
-	cache       *prefixCache
-	runs        *runLog
-	models      []string
-	anyModel    bool
-	arrivals    int
-	starts      int
-	outstanding int // tokens not yet made, and prompt tokens not yet read
-	leaving     bool
-	paused      bool
-	stopped     bool
+	mu                sync.Mutex
+	waiting           waitingHeap
+	running           []*sequence
+	byAttempt         map[string]*sequence
+	cache             *prefixCache
+	runs              *runLog
+	models            []string
+	anyModel          bool
+	arrivals          int
+	starts            int
+	outstandingTokens int // output tokens not yet generated, and prompt tokens of waiting sequences
+	draining          bool
+	paused            bool
+	stopped           bool
 }
 
-func newScheduler(cfg Config, now func() time.Time, noted *evidence, onCrash func()) *scheduler {
-	e := &scheduler{
+func newScheduler(cfg Config, now func() time.Time, activity *activityLogger, onCrash func()) *scheduler {
+	s := &scheduler{
 		cfg:       cfg,
 		now:       now,
-		evidence:  noted,
+		activity:  activity,
 		onCrash:   onCrash,
 		wake:      make(chan struct{}, 1),
 		quit:      make(chan struct{}),
@@ -55,118 +55,120 @@
 		models:    slices.Clone(cfg.Models),
 		anyModel:  len(cfg.Models) == 0,
 	}
-	return e
+	return s
 }
 
-// loop steps the batch until stop. Only this goroutine makes tokens.
-func (e *scheduler) loop() {
+// loop runs steps until stop. Only its goroutine generates tokens.
+func (s *scheduler) loop() {
 	for {
-		wait, idle := e.step(e.now())
+		wait, idle := s.step(s.now())
 		if wait == 0 && !idle {
 			continue
 		}
-		if !e.sleep(wait, idle) {
+		if !s.sleep(wait, idle) {
 			return
 		}
 	}
 }
 
-// sleep waits for the next due token, or for a change; false means stop.
-func (e *scheduler) sleep(wait time.Duration, idle bool) bool {
+// sleep waits for the next due token or a wake-up. It returns false if the scheduler stopped.
+func (s *scheduler) sleep(wait time.Duration, idle bool) bool {
 	var due <-chan time.Time
 	if !idle {
-		timer := time.NewTimer(max(wait, minTick))
+		timer := time.NewTimer(max(wait, minSleep))
 		defer timer.Stop()
 		due = timer.C
 	}
 	select {
 	case <-due:
-	case <-e.wake:
-	case <-e.quit:
+	case <-s.wake:
+	case <-s.quit:
 		return false
 	}
 	return true
 }
 
-func (e *scheduler) wakeUp() {
+func (s *scheduler) wakeUp() {
 	select {
-	case e.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// step admits waiting sequences and makes the tokens that are due. It tells
-// how long it is until the next are, or that nothing runs.
-func (e *scheduler) step(now time.Time) (wait time.Duration, idle bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.stopped || e.paused {
+// step admits waiting sequences and generates the tokens that are due. It returns the time
+// until the next token is due, or idle if nothing can run.
+func (s *scheduler) step(now time.Time) (wait time.Duration, idle bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.stopped || s.paused {
 		return 0, true
 	}
-	e.admit(now)
-	kept := e.running[:0]
-	for _, s := range e.running {
-		if s.run.Tokens == s.crashAt {
-			e.crash()
+	s.admit(now)
+	kept := s.running[:0]
+	for _, seq := range s.running {
+		if seq.run.Tokens == seq.crashTokens {
+			s.crashLocked()
 			return 0, true
 		}
-		e.advance(s, now)
-		if s.run.State == RunRunning {
-			kept = append(kept, s)
+		s.advance(seq, now)
+		if seq.run.State == RunRunning {
+			kept = append(kept, seq)
 		}
 	}
-	changed := len(kept) < len(e.running)
-	clear(e.running[len(kept):])
-	e.running = kept
+	changed := len(kept) < len(s.running)
+	clear(s.running[len(kept):])
+	s.running = kept
 	if changed {
 		return 0, false // a slot is free: admit at once
 	}
-	return e.untilDue(now)
+	return s.untilNextDue(now)
 }
 
-func (e *scheduler) untilDue(now time.Time) (wait time.Duration, idle bool) {
-	if len(e.running) == 0 {
+func (s *scheduler) untilNextDue(now time.Time) (wait time.Duration, idle bool) {
+	if len(s.running) == 0 {
 		return 0, true
 	}
-	first := e.running[0].nextDue(e.cfg.TokenTime)
-	for _, s := range e.running[1:] {
-		due := s.nextDue(e.cfg.TokenTime)
-		if due.Before(first) {
-			first = due
+	earliest := s.running[0].nextDue(s.cfg.TokenTime)
+	for _, seq := range s.running[1:] {
+		due := seq.nextDue(s.cfg.TokenTime)
+		if due.Before(earliest) {
+			earliest = due
 		}
 	}
-	return max(first.Sub(now), 0), false
+	return max(earliest.Sub(now), 0), false
 }
 
-func (e *scheduler) admit(now time.Time) {
-	for len(e.running) < e.cfg.Slots && len(e.waiting) > 0 {
-		s := heap.Pop(&e.waiting).(*sequence)
-		e.starts++
-		s.run.Start = e.starts
-		e.evidence.note(evidenceLine{Kind: runBegan, At: now, Request: s.requestID})
-		s.run.State = RunRunning
-		cached := e.cache.use(s.hashes) * blockTokens
-		s.run.CachedTokens = min(cached, s.run.PromptTokens)
-		toRead := s.run.PromptTokens - s.run.CachedTokens
-		s.readyAt = now.Add(time.Duration(toRead) * e.cfg.PromptTokenTime)
-		e.outstanding -= s.run.PromptTokens
-		e.running = append(e.running, s)
+// admit starts waiting sequences while slots are free.
+func (s *scheduler) admit(now time.Time) {
+	for len(s.running) < s.cfg.Slots && len(s.waiting) > 0 {
+		seq := heap.Pop(&s.waiting).(*sequence)
+		s.starts++
+		seq.run.Start = s.starts
+		s.activity.log(activityRecord{Kind: runStarted, At: now, Request: seq.requestID})
+		seq.run.State = RunRunning
+		cached := s.cache.use(seq.blockHashes) * blockTokens
+		seq.run.CachedTokens = min(cached, seq.run.PromptTokens)
+		uncachedTokens := seq.run.PromptTokens - seq.run.CachedTokens
+		seq.prefillEnd = now.Add(time.Duration(uncachedTokens) * s.cfg.PromptTokenTime)
+		s.outstandingTokens -= seq.run.PromptTokens
+		s.running = append(s.running, seq)
 	}
 }
 
-func (e *scheduler) advance(s *sequence, now time.Time) {
-	generated := s.due(now, e.cfg.TokenTime)
-	if s.crashAt >= 0 {
-		generated = min(generated, s.crashAt)
+// advance generates the due tokens of a sequence.
+func (s *scheduler) advance(seq *sequence, now time.Time) {
+	generated := seq.tokensDue(now, s.cfg.TokenTime)
+	if seq.crashTokens >= 0 {
+		generated = min(generated, seq.crashTokens)
 	}
-	if generated <= s.run.Tokens {
+	if generated <= seq.run.Tokens {
 		return
 	}
-	e.outstanding -= generated - s.run.Tokens
-	s.run.Tokens = generated
-	ended := generated == len(s.answer)
+	s.outstandingTokens -= generated - seq.run.Tokens
+	seq.run.Tokens = generated
+	ended := generated == len(seq.answer)
 	if ended {
-		s.run.State = RunFinished
+		seq.run.State = RunFinished
 	}
-	s.progress.set(generated, ended)
+	seq.progress.set(generated, ended)
 }
--- a/internal/enginestub/service.go
+++ b/internal/enginestub/service.go
@@ -14,43 +14,42 @@
 	"chicorytiller.example/chicorytiller/internal/native"
 )
 
-// CrashPoint is when a marked call crashes a plain service.
+// CrashPoint defines when a call whose body contains the crash marker crashes a Service.
 type CrashPoint string
 
-// Crash points.
 const (
 	CrashBeforeEffect CrashPoint = "before"
 	CrashAfterEffect  CrashPoint = "after"
 )
 
-// ServiceConfig sets up a plain service.
+// ServiceConfig configures a Service.
 type ServiceConfig struct {
-	ID          string        // as of an engine
-	Slots       int           // reported only
-	Delay       time.Duration // before each effect
-	CrashMarker string        // in a body; empty: never
-	CrashPoint  CrashPoint    // CrashBeforeEffect when empty
-	OnCrash     func()        // called once after all connections are closed
+	ID          string        // as in Config
+	Slots       int           // has no effect
+	Delay       time.Duration // before the effect of each call
+	CrashMarker string        // a call whose body contains it crashes the service; empty: never
+	CrashPoint  CrashPoint    // empty: CrashBeforeEffect
+	OnCrash     func()        // called once after a crash has closed all connections
 }
 
-// Service is the plain service "confirmations".
+// Service simulates a plain service with one non-idempotent call, POST /confirm. It counts the
+// calls' effects so that repeated ones can be found.
 type Service struct {
 	*httpServer
 	cfg  ServiceConfig
 	now  func() time.Time
 	quit chan struct{}
 
-	effects   sync.Mutex // guards all below
+	mu        sync.Mutex // guards the fields below
 	calls     int
 	byRequest map[string]*Confirmation
 	byBody    map[string]*Confirmation
 	running   int
-	leaving   bool
+	draining  bool
 	stopped   bool
 }
 
-// NewService makes a plain service. now is its clock; without one it is
-// time.Now.
+// NewService returns a Service. The optional now replaces time.Now.
 func NewService(cfg ServiceConfig, now ...func() time.Time) *Service {
 	setDefault(&cfg.Slots, DefaultSlots)
 	s := &Service{
@@ -64,7 +63,7 @@
 	if len(now) > 0 {
 		s.now = now[0]
 	}
-	s.app.Use(s.accept)
+	s.app.Use(s.handleCommon)
 	s.app.Post("/confirm", s.handleConfirm)
 	s.app.Get("/runs", s.handleRuns)
 	return s
@@ -77,84 +76,84 @@
 	s.shutdown()
 }
 
-// Drain makes the service refuse new calls.
+// Drain makes the service reject new calls.
 func (s *Service) Drain() {
-	s.effects.Lock()
-	defer s.effects.Unlock()
-	s.leaving = true
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.draining = true
 }
 
-// Idle tells whether no call runs.
+// Idle reports whether no call is running.
 func (s *Service) Idle() bool {
-	s.effects.Lock()
-	defer s.effects.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return s.running == 0
 }
 
-// confirmCall is the body of POST /confirm.
-type confirmCall struct {
+// confirmRequest is the body of POST /confirm.
+type confirmRequest struct {
 	ID string `json:"id"`
 }
 
-// confirmAnswer follows from the call alone.
-type confirmAnswer struct {
+// confirmResponse is the response to POST /confirm. It depends only on the request body.
+type confirmResponse struct {
 	ID           string `json:"id"`
 	Confirmation string `json:"confirmation"`
 }
 
 func (s *Service) handleConfirm(c *fiber.Ctx) error {
-	var call confirmCall
-	err := json.Unmarshal(c.Body(), &call)
-	if err != nil || call.ID == "" {
+	var req confirmRequest
+	err := json.Unmarshal(c.Body(), &req)
+	if err != nil || req.ID == "" {
 		return errors.Wrap(ErrBadRequest, "body is not {\"id\":...}")
 	}
-	err = s.begin()
+	err = s.beginCall()
 	if err != nil {
 		return err
 	}
-	defer s.finish()
-	if !s.wait() {
+	defer s.endCall()
+	if !s.delay() {
 		return ErrUnavailable
 	}
-	marked := s.cfg.CrashMarker != "" && strings.Contains(string(c.Body()), s.cfg.CrashMarker)
-	if marked && s.cfg.CrashPoint != CrashAfterEffect {
+	hasMarker := s.cfg.CrashMarker != "" && strings.Contains(string(c.Body()), s.cfg.CrashMarker)
+	if hasMarker && s.cfg.CrashPoint != CrashAfterEffect {
 		s.crash()
 		return ErrUnavailable
 	}
 	bodyHash := strconv.FormatUint(xxhash.Sum64(c.Body()), 16)
-	err = s.confirm(call.ID, strings.Clone(c.Get(native.HeaderRequestID)), bodyHash)
+	err = s.confirm(req.ID, strings.Clone(c.Get(native.HeaderRequestID)), bodyHash)
 	if err != nil {
 		return err
 	}
-	if marked {
+	if hasMarker {
 		s.crash()
 	}
-	number := xxhash.Sum64String("confirmation\x00" + call.ID)
-	return c.JSON(confirmAnswer{ID: call.ID, Confirmation: strconv.FormatUint(number, 16)})
+	hash := xxhash.Sum64String("confirmation\x00" + req.ID)
+	return c.JSON(confirmResponse{ID: req.ID, Confirmation: strconv.FormatUint(hash, 16)})
 }
 
 func (s *Service) handleRuns(c *fiber.Ctx) error {
 	return c.JSON(s.Runs())
 }
 
-func (s *Service) begin() error {
-	s.effects.Lock()
-	defer s.effects.Unlock()
-	if s.leaving || s.stopped {
+func (s *Service) beginCall() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.draining || s.stopped {
 		return ErrUnavailable
 	}
 	s.running++
 	return nil
 }
 
-func (s *Service) finish() {
-	s.effects.Lock()
-	defer s.effects.Unlock()
+func (s *Service) endCall() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.running--
 }
 
-// wait takes the call's time; false means that the service stopped meanwhile.
-func (s *Service) wait() bool {
+// delay waits for the configured delay. It returns false if the service stops before its end.
+func (s *Service) delay() bool {
 	if s.cfg.Delay <= 0 {
 		return true
 	}
@@ -168,7 +167,7 @@
 	}
 }
 
-// crash closes all connections before any answer can be sent.
+// crash simulates a killed process. It closes all connections before a response can be sent.
 func (s *Service) crash() {
 	if !s.stop() {
 		return
@@ -179,10 +178,10 @@
 	}
 }
 
-// stop tells whether it was this call that stopped the service.
+// stop stops the service. It reports whether the service was still running.
 func (s *Service) stop() bool {
-	s.effects.Lock()
-	defer s.effects.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if s.stopped {
 		return false
 	}
--- a/internal/enginestub/submit.go
+++ b/internal/enginestub/submit.go
@@ -17,89 +17,91 @@
 	ErrMisdirected      = errors.New("enginestub: meant for another backend server")
 )
 
-// submit queues an attempt.
-func (e *scheduler) submit(requestID, attemptID string, req *request) (*sequence, error) {
-	s := e.newSequence(requestID, attemptID, req)
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	err := e.refusal(s)
+// submit queues an attempt, or returns an error if the engine rejects it.
+func (s *scheduler) submit(requestID, attemptID string, req *request) (*sequence, error) {
+	seq := s.newSequence(requestID, attemptID, req)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	err := s.checkSubmit(seq)
 	if err != nil {
 		return nil, err
 	}
-	e.arrivals++
-	s.arrival = e.arrivals
-	s.created = e.now()
-	e.byAttempt[attemptID] = s
-	e.runs.add(requestID, s.run)
-	e.outstanding += s.run.PromptTokens + len(s.answer)
-	heap.Push(&e.waiting, s)
-	e.wakeUp()
-	return s, nil
+	s.arrivals++
+	seq.arrival = s.arrivals
+	seq.created = s.now()
+	s.byAttempt[attemptID] = seq
+	s.runs.add(requestID, seq.run)
+	s.outstandingTokens += seq.run.PromptTokens + len(seq.answer)
+	heap.Push(&s.waiting, seq)
+	s.wakeUp()
+	return seq, nil
 }
 
-func (e *scheduler) newSequence(requestID, attemptID string, req *request) *sequence {
-	s := &sequence{
-		requestID: requestID,
-		attemptID: attemptID,
-		req:       req,
-		hashes:    prefixHashes(req.model, req.prompt, e.cfg.BytesPerToken),
-		queueAt:   -1,
+func (s *scheduler) newSequence(requestID, attemptID string, req *request) *sequence {
+	seq := &sequence{
+		requestID:   requestID,
+		attemptID:   attemptID,
+		req:         req,
+		blockHashes: prefixHashes(req.model, req.prompt, s.cfg.BytesPerToken),
+		heapIndex:   -1,
 	}
-	s.answer, s.finish = req.answer(req.maxTokens)
-	s.crashAt = e.crashPoint(s)
-	s.run = &AttemptRun{
+	seq.answer, seq.finishReason = req.answer(req.maxTokens)
+	seq.crashTokens = s.crashTokenCount(seq)
+	seq.run = &AttemptRun{
 		Attempt:      attemptID,
 		State:        RunWaiting,
-		PromptTokens: req.promptTokens(e.cfg.BytesPerToken),
+		PromptTokens: req.promptTokens(s.cfg.BytesPerToken),
 	}
-	s.progress.init()
-	return s
+	seq.progress.init()
+	return seq
 }
 
-// crashPoint is the number of tokens with which s crashes the engine, always
-// before its last one; -1 when it doesn't.
-func (e *scheduler) crashPoint(s *sequence) int {
-	if e.cfg.CrashMarker == "" || !strings.Contains(s.req.prompt, e.cfg.CrashMarker) {
+// crashTokenCount returns the number of generated tokens at which seq crashes the engine, at
+// most all but the last; -1 if it does not.
+func (s *scheduler) crashTokenCount(seq *sequence) int {
+	if s.cfg.CrashMarker == "" || !strings.Contains(seq.req.prompt, s.cfg.CrashMarker) {
 		return -1
 	}
-	return min(e.cfg.CrashAfterTokens, len(s.answer)-1)
+	return min(s.cfg.CrashAfterTokens, len(seq.answer)-1)
 }
 
-func (e *scheduler) refusal(s *sequence) error {
+// checkSubmit returns the reason to reject seq, or nil.
+func (s *scheduler) checkSubmit(seq *sequence) error {
 	switch {
-	case e.leaving || e.stopped:
+	case s.draining || s.stopped:
 		return ErrUnavailable
-	case !e.anyModel && !slices.Contains(e.models, s.req.model):
+	case !s.anyModel && !slices.Contains(s.models, seq.req.model):
 		return ErrModelNotLoaded
-	case e.byAttempt[s.attemptID] != nil:
+	case s.byAttempt[seq.attemptID] != nil:
 		return ErrDuplicateAttempt
-	case len(e.waiting) >= e.cfg.MaxWaiting:
+	case len(s.waiting) >= s.cfg.MaxWaiting:
 		return ErrQueueFull
 	default:
 		return nil
 	}
 }
 
-// cancel stops an attempt and frees its slot; one that has finished is forgotten.
-func (e *scheduler) cancel(attemptID string) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	s := e.byAttempt[attemptID]
-	if s == nil {
+// cancel stops an attempt, frees its slot and forgets it. For a finished attempt it only forgets
+// it.
+func (s *scheduler) cancel(attemptID string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	seq := s.byAttempt[attemptID]
+	if seq == nil {
 		return
 	}
-	delete(e.byAttempt, attemptID)
-	switch s.run.State {
+	delete(s.byAttempt, attemptID)
+	switch seq.run.State {
 	case RunWaiting:
-		heap.Remove(&e.waiting, s.queueAt)
-		e.outstanding -= s.run.PromptTokens + len(s.answer)
+		heap.Remove(&s.waiting, seq.heapIndex)
+		s.outstandingTokens -= seq.run.PromptTokens + len(seq.answer)
 	case RunRunning:
-		e.running = slices.DeleteFunc(e.running, func(other *sequence) bool { return other == s })
-		e.outstanding -= len(s.answer) - s.run.Tokens
+		s.running = slices.DeleteFunc(s.running, func(other *sequence) bool { return other == seq })
+		s.outstandingTokens -= len(seq.answer) - seq.run.Tokens
 	default:
 		return
 	}
-	s.run.State = RunCancelled
-	s.progress.set(s.run.Tokens, true)
-	e.wakeUp()
+	seq.run.State = RunCancelled
+	seq.progress.set(seq.run.Tokens, true)
+	s.wakeUp()
 }
