--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -7,57 +7,56 @@
 	"github.com/pkg/errors"
 )
 
-// Status is how one logical request ended for its caller.
+// Status is the final outcome of a logical request as its caller sees it.
 type Status string
 
-// Statuses.
 const (
 	StatusOK        Status = "ok"
-	StatusRefused   Status = "refused"   // the last try got a typed error
-	StatusLost      Status = "lost"      // no whole answer until the deadline
-	StatusSpliced   Status = "spliced"   // bytes that differ from the right ones
-	StatusTruncated Status = "truncated" // ended in good form before its last byte
+	StatusRefused   Status = "refused"   // the last try got an error response
+	StatusLost      Status = "lost"      // the last try got no complete answer
+	StatusSpliced   Status = "spliced"   // content, finish reason or usage differs from the expected answer
+	StatusTruncated Status = "truncated" // well-formed, but shorter than the expected answer
 )
 
-// RetryPolicy bounds what a caller does after a try that brought no answer.
+// RetryPolicy limits the tries of a logical request.
 type RetryPolicy struct {
 	Deadline      time.Duration // of the whole logical request
-	TryTimeout    time.Duration // of one try with its whole answer; 0: the rest of Deadline
+	TryTimeout    time.Duration // of one try until its answer is complete; 0: the rest of Deadline
 	MaxTries      int
 	MaxRetryAfter time.Duration // a longer Retry-After ends the request
-	Backoff       time.Duration // first wait after a broken try; doubles
-	Rotate        bool          // spread requests over all addresses, rather than use the best first
+	Backoff       time.Duration // first delay where no Retry-After is given; doubles each time
+	Rotate        bool          // start at a different address per request, rather than at the preferred one
 }
 
-// maxBackoff bounds the doubling wait.
+// maxBackoff limits the exponential backoff.
 const maxBackoff = 2 * time.Second
 
-// Result is one logical request with all its tries.
+// Result is the result of a logical request over all its tries.
 type Result struct {
 	Request            Request
 	Status             Status
-	Refusal            *Refusal // of the last try, when refused
+	Refusal            *Refusal // of the last try, if refused
 	Err                error    // of the last try
-	RequestID          string   // as the router named it last
+	RequestID          string   // the latest that a response named
 	Usage              Usage
 	Tries              int
-	BrokenTries        int // tries whose answer began and broke
-	IndeterminateTries int // tries that may have run though they brought no whole answer
-	TimeToFirstToken   time.Duration
-	TotalTime          time.Duration
+	BrokenTries        int           // tries interrupted after the response had begun
+	IndeterminateTries int           // failed tries that may have been executed
+	TimeToFirstToken   time.Duration // from the start of the first try
+	TotalTime          time.Duration // of all tries and the delays between them
 	InterTokenTimes    []time.Duration
 }
 
-// Caller carries out logical requests as a real caller does: at the addresses of
-// the entry answer in turn, with one key over all tries.
+// Caller sends logical requests as a client application does: it tries the addresses
+// of the entry answer one after the other, with the same idempotency key.
 type Caller struct {
 	client      *Client
-	directories []*Directory // by account
+	directories []*Directory // by account index
 	policy      RetryPolicy
 	wait        func(ctx context.Context, d time.Duration) error
 }
 
-// NewCaller makes a caller. A nil wait sleeps on the real clock.
+// NewCaller returns a Caller. wait delays a retry; nil means to sleep.
 func NewCaller(client *Client, directories []*Directory, policy RetryPolicy, wait func(context.Context, time.Duration) error) *Caller {
 	if wait == nil {
 		wait = sleep
@@ -65,26 +64,26 @@
 	return &Caller{client: client, directories: directories, policy: policy, wait: wait}
 }
 
-// Call carries out one logical request.
+// Call sends a logical request and retries it as the policy allows.
 func (c *Caller) Call(ctx context.Context, req Request) Result {
 	start := time.Now()
 	deadline := start.Add(c.policy.Deadline)
 	result := Result{Request: req}
-	turn := turns{directory: c.directories[req.Account]}
+	picker := addressPicker{directory: c.directories[req.Account]}
 	if c.policy.Rotate {
-		turn.offset = req.Index
+		picker.offset = req.Index
 	}
 	backoff := c.policy.Backoff
 	for result.Tries < c.policy.MaxTries {
 		result.Tries++
-		var out reply
-		err := c.tryNext(&turn, &result.Request, deadline, &out)
-		result.take(err, &out, start)
-		pause, again := c.pauseAfter(err, turn.more, &backoff)
-		if !again || time.Until(deadline) <= pause {
+		var out tryResult
+		err := c.tryNext(&picker, &result.Request, deadline, &out)
+		result.recordTry(err, &out, start)
+		delay, retry := c.retryDelay(err, picker.remaining, &backoff)
+		if !retry || time.Until(deadline) <= delay {
 			break
 		}
-		if c.wait(ctx, pause) != nil {
+		if c.wait(ctx, delay) != nil {
 			break
 		}
 	}
@@ -92,28 +91,28 @@
 	return result
 }
 
-func (c *Caller) tryNext(turn *turns, req *Request, deadline time.Time, out *reply) error {
-	address, err := turn.address()
+func (c *Caller) tryNext(picker *addressPicker, req *Request, deadline time.Time, out *tryResult) error {
+	address, err := picker.next()
 	if err != nil {
 		return errors.Wrap(ErrNoResponse, err.Error())
 	}
-	if until := time.Now().Add(c.policy.TryTimeout); c.policy.TryTimeout > 0 && until.Before(deadline) {
-		deadline = until
+	if tryDeadline := time.Now().Add(c.policy.TryTimeout); c.policy.TryTimeout > 0 && tryDeadline.Before(deadline) {
+		deadline = tryDeadline
 	}
 	err = c.client.try(address, req, deadline, out)
-	if doesNotServe(err) {
-		turn.directory.MarkFailed(address)
+	if isUnavailable(err) {
+		picker.directory.MarkFailed(address)
 	}
 	return err
 }
 
-// Causes by which a router says that it takes no more requests.
+// Causes with which a router refuses all new requests.
 const (
 	causeDraining = "draining"
 	causeFenced   = "router_fenced"
 )
 
-func doesNotServe(err error) bool {
+func isUnavailable(err error) bool {
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
 		return refusal.Cause == causeDraining || refusal.Cause == causeFenced
@@ -121,9 +120,9 @@
 	return errors.Is(err, ErrNoResponse) || errors.Is(err, ErrInterrupted)
 }
 
-// pauseAfter decides whether a caller tries again after err, and when. While other
-// addresses are left a failed connection costs no wait.
-func (c *Caller) pauseAfter(err error, othersLeft bool, backoff *time.Duration) (pause time.Duration, again bool) {
+// retryDelay returns whether to try again after err, and after which delay. If there was
+// no response and an address is still untried, there is no delay.
+func (c *Caller) retryDelay(err error, othersLeft bool, backoff *time.Duration) (delay time.Duration, retry bool) {
 	var refusal *Refusal
 	switch {
 	case err == nil:
@@ -139,25 +138,25 @@
 	case errors.Is(err, ErrNoResponse) && othersLeft:
 		return 0, true
 	case errors.Is(err, ErrNoResponse), errors.Is(err, ErrInterrupted):
-	default: // wrong bytes: trying again would hide the fault
+	default: // wrong content: a retry would hide the fault
 		return 0, false
 	}
-	pause = *backoff
+	delay = *backoff
 	*backoff = min(*backoff*2, maxBackoff)
-	return pause, true
+	return delay, true
 }
 
 const outcomeNotRun = "not_run"
 
-func saysNotRun(err error) bool {
+func isNotRun(err error) bool {
 	var refusal *Refusal
 	return errors.As(err, &refusal) && refusal.Outcome == outcomeNotRun
 }
 
-// take notes how a try ended.
-func (r *Result) take(err error, out *reply, start time.Time) {
+// recordTry updates the result with the outcome of a try.
+func (r *Result) recordTry(err error, out *tryResult, start time.Time) {
 	r.Err, r.Refusal = err, nil
-	if err != nil && !saysNotRun(err) {
+	if err != nil && !isNotRun(err) {
 		r.IndeterminateTries++
 	}
 	if out.requestID != "" {
@@ -168,8 +167,8 @@
 	case err == nil:
 		r.Status = StatusOK
 		r.Usage = out.usage
-		r.TimeToFirstToken = out.first.Sub(start)
-		r.InterTokenTimes = out.gaps
+		r.TimeToFirstToken = out.firstContent.Sub(start)
+		r.InterTokenTimes = out.interTokenTimes
 	case errors.As(err, &refusal):
 		r.Status, r.Refusal = StatusRefused, refusal
 		if refusal.RequestID != "" {
--- a/internal/load/caller_test.go
+++ b/internal/load/caller_test.go
@@ -11,36 +11,36 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func replaced(events []string, at int, with ...string) []string {
-	return slices.Replace(slices.Clone(events), at, at+1, with...)
+func replaceEvent(events []string, index int, with ...string) []string {
+	return slices.Replace(slices.Clone(events), index, index+1, with...)
 }
 
-// Guards against joined, cut or doubled streams whose form looks right.
+// Guards against accepting spliced, truncated or duplicated streams that are well-formed.
 func TestEachAnswerIsCheckedByteForByte(t *testing.T) {
-	whole := wholeEvents()
+	complete := completeEvents()
 	usage := `"usage":{"prompt_tokens":3,"completion_tokens":5}`
 	goodJSON := `{"id":"r1","choices":[{"message":{"content":"one two\ndrei\u00df \u56db five"},"finish_reason":"stop"}],` + usage + `}`
 	tests := []struct {
 		name   string
-		script answer
+		script scriptedResponse
 		want   Status
 	}{
-		{"whole", answer{events: whole}, StatusOK},
-		{"whole in one chunk", answer{events: []string{chunk(strings.Join(testTokens, "")), whole[5], "[DONE]"}}, StatusOK},
-		{"splice", answer{events: replaced(whole, 2, chunk("other "))}, StatusSpliced},
-		{"doubled chunk", answer{events: replaced(whole, 2, whole[2], whole[2])}, StatusSpliced},
-		{"doubled last chunk", answer{events: replaced(whole, 4, whole[4], whole[4])}, StatusSpliced},
-		{"left-out chunk", answer{events: replaced(whole, 2)}, StatusSpliced},
-		{"lost end in good form", answer{events: replaced(whole, 4)}, StatusTruncated},
-		{"lost end without [DONE]", answer{events: whole[:4]}, StatusLost},
-		{"event after [DONE]", answer{events: append(slices.Clone(whole), whole[0])}, StatusSpliced},
-		{"wrong finish reason", answer{events: replaced(whole, 5, endChunk("length", 5))}, StatusSpliced},
-		{"wrong usage", answer{events: replaced(whole, 5, endChunk("stop", 4))}, StatusSpliced},
-		{"no usage", answer{events: replaced(whole, 5, `{"choices":[{"delta":{},"finish_reason":"stop"}]}`)}, StatusSpliced},
-		{"no JSON in a chunk", answer{events: replaced(whole, 2, `{"choices":`)}, StatusSpliced},
-		{"plain JSON", answer{status: 200, body: goodJSON}, StatusOK},
-		{"plain JSON cut", answer{status: 200, body: strings.Replace(goodJSON, " five", "", 1)}, StatusTruncated},
-		{"plain JSON changed", answer{status: 200, body: strings.Replace(goodJSON, "two", "Two", 1)}, StatusSpliced},
+		{"whole", scriptedResponse{events: complete}, StatusOK},
+		{"whole in one chunk", scriptedResponse{events: []string{contentChunk(strings.Join(testTokens, "")), complete[5], "[DONE]"}}, StatusOK},
+		{"splice", scriptedResponse{events: replaceEvent(complete, 2, contentChunk("other "))}, StatusSpliced},
+		{"doubled chunk", scriptedResponse{events: replaceEvent(complete, 2, complete[2], complete[2])}, StatusSpliced},
+		{"doubled last chunk", scriptedResponse{events: replaceEvent(complete, 4, complete[4], complete[4])}, StatusSpliced},
+		{"left-out chunk", scriptedResponse{events: replaceEvent(complete, 2)}, StatusSpliced},
+		{"lost end in good form", scriptedResponse{events: replaceEvent(complete, 4)}, StatusTruncated},
+		{"lost end without [DONE]", scriptedResponse{events: complete[:4]}, StatusLost},
+		{"event after [DONE]", scriptedResponse{events: append(slices.Clone(complete), complete[0])}, StatusSpliced},
+		{"wrong finish reason", scriptedResponse{events: replaceEvent(complete, 5, finalChunk("length", 5))}, StatusSpliced},
+		{"wrong usage", scriptedResponse{events: replaceEvent(complete, 5, finalChunk("stop", 4))}, StatusSpliced},
+		{"no usage", scriptedResponse{events: replaceEvent(complete, 5, `{"choices":[{"delta":{},"finish_reason":"stop"}]}`)}, StatusSpliced},
+		{"no JSON in a chunk", scriptedResponse{events: replaceEvent(complete, 2, `{"choices":`)}, StatusSpliced},
+		{"plain JSON", scriptedResponse{status: 200, body: goodJSON}, StatusOK},
+		{"plain JSON cut", scriptedResponse{status: 200, body: strings.Replace(goodJSON, " five", "", 1)}, StatusTruncated},
+		{"plain JSON changed", scriptedResponse{status: 200, body: strings.Replace(goodJSON, "two", "Two", 1)}, StatusSpliced},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -53,17 +53,17 @@
 	}
 }
 
-// Guards against retries that are new requests with new bills.
+// Guards against retries that run and bill a request again as a new one.
 func TestRetriesKeepKeyAndBody(t *testing.T) {
 	c := qt.New(t)
 	overload := `{"error":{"message":"busy","cause":"overload","outcome":"not_run"}}`
 	router := startRouter(c,
-		answer{events: wholeEvents()[:3]},
-		answer{status: 503, retryAfter: "2", body: overload},
-		answer{events: wholeEvents()},
+		scriptedResponse{events: completeEvents()[:3]},
+		scriptedResponse{status: 503, retryAfter: "2", body: overload},
+		scriptedResponse{events: completeEvents()},
 	)
 	var waits []time.Duration
-	caller := testCaller(&waits, closedPort(c), router.address)
+	caller := testCaller(&waits, closedAddress(c), router.address)
 	result := caller.Call(context.Background(), testRequest(t, true))
 	c.Assert(result.Status, qt.Equals, StatusOK, qt.Commentf("%v", result.Err))
 	c.Assert(result.Tries, qt.Equals, 5)
@@ -73,43 +73,42 @@
 	c.Assert(slices.Compact(router.bodies), qt.HasLen, 1)
 }
 
-// closedPort gives an address at which nothing listens.
-func closedPort(c *qt.C) string {
+// closedAddress returns an address on which nothing listens.
+func closedAddress(c *qt.C) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer listener.Close()
 	return listener.Addr().String()
 }
 
-// Guards against a caller that waits for a paused router.
-func TestSilentRouterIsGivenUp(t *testing.T) {
+// Guards against waiting for a paused router until the deadline of the request.
+func TestUnresponsiveRouterTimesOut(t *testing.T) {
 	c := qt.New(t)
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // connections wait in the backlog
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // connections wait in the backlog
 	c.Assert(err, qt.IsNil)
-	defer silent.Close()
-	router := startRouter(c, answer{events: wholeEvents()})
+	defer unresponsive.Close()
+	router := startRouter(c, scriptedResponse{events: completeEvents()})
 	var waits []time.Duration
-	caller := testCaller(&waits, silent.Addr().String(), router.address)
+	caller := testCaller(&waits, unresponsive.Addr().String(), router.address)
 	caller.policy.TryTimeout = 300 * time.Millisecond
 	result := caller.Call(context.Background(), testRequest(t, true))
-	// The router may be slow under -race as well: what counts is that the
-	// silent one did not hold the request.
+	// No exact number of tries: under -race the responsive router may time out too.
 	c.Assert(result.Status, qt.Equals, StatusOK, qt.Commentf("%v", result.Err))
 	c.Assert(result.Tries > 1, qt.IsTrue)
 	c.Assert(router.keys[0], qt.Equals, "run-0")
 }
 
-func TestRefusalsEndOrRepeatTheRequest(t *testing.T) {
+func TestRetryAfterDecidesWhetherRefusalIsRetried(t *testing.T) {
 	body := `{"error":{"message":"no","cause":"budget_exhausted","outcome":"not_run","request_id":"r9"}}`
 	tests := []struct {
 		name   string
-		script answer
+		script scriptedResponse
 		tries  int
 	}{
-		{"no Retry-After", answer{status: 402, body: body}, 1},
-		{"Retry-After past the limit", answer{status: 429, retryAfter: "6", body: body}, 1},
-		{"Retry-After each time", answer{status: 429, retryAfter: "1", body: body}, 5},
-		{"error within the stream", answer{events: []string{wholeEvents()[0], body}}, 5},
+		{"no Retry-After", scriptedResponse{status: 402, body: body}, 1},
+		{"Retry-After past the limit", scriptedResponse{status: 429, retryAfter: "6", body: body}, 1},
+		{"Retry-After each time", scriptedResponse{status: 429, retryAfter: "1", body: body}, 5},
+		{"error within the stream", scriptedResponse{events: []string{completeEvents()[0], body}}, 5},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -4,29 +4,29 @@
 	"github.com/pkg/errors"
 )
 
-// answerCheck compares an answer with what it must be while it arrives.
-type answerCheck struct {
-	want     Expected
-	position int
+// answerChecker compares an answer with the expected one as it arrives.
+type answerChecker struct {
+	want   Expected
+	offset int
 }
 
-// add takes the next bytes of the answer. Its error wraps ErrDiffers.
-func (c *answerCheck) add(content []byte) error {
-	end := c.position + len(content)
+// add checks the next bytes of the answer. Its error wraps ErrMismatch.
+func (c *answerChecker) add(content []byte) error {
+	end := c.offset + len(content)
 	if end > len(c.want.Text) {
 		return errors.Wrapf(ErrMismatch, "%d bytes past the end of %d", end-len(c.want.Text), len(c.want.Text))
 	}
-	if c.want.Text[c.position:end] != string(content) {
-		return errors.Wrapf(ErrMismatch, "within bytes %d..%d", c.position, end)
+	if c.want.Text[c.offset:end] != string(content) {
+		return errors.Wrapf(ErrMismatch, "within bytes %d..%d", c.offset, end)
 	}
-	c.position = end
+	c.offset = end
 	return nil
 }
 
-// finish checks the end of the answer. Its error wraps ErrTruncated or ErrDiffers.
-func (c *answerCheck) finish(reason string) error {
-	if c.position < len(c.want.Text) {
-		return errors.Wrapf(ErrTruncated, "at byte %d of %d", c.position, len(c.want.Text))
+// finish checks the end of the answer. Its error wraps ErrTruncated or ErrMismatch.
+func (c *answerChecker) finish(reason string) error {
+	if c.offset < len(c.want.Text) {
+		return errors.Wrapf(ErrTruncated, "at byte %d of %d", c.offset, len(c.want.Text))
 	}
 	if reason != c.want.FinishReason {
 		return errors.Wrapf(ErrMismatch, "finish reason %q instead of %q", reason, c.want.FinishReason)
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -16,19 +16,19 @@
 	maxConnsPerAddress = 65536
 	readBufferBytes    = 32 << 10
 	maxBodyBytes       = 16 << 20
-	entryTimeout       = 2 * time.Second
+	getTimeout         = 2 * time.Second
 	dialTimeout        = 2 * time.Second
 )
 
-// Client sends single tries. It is safe for concurrent use.
+// Client sends requests without retries. It is safe for concurrent use.
 type Client struct {
 	http *fasthttp.Client
-	keys []string // bearer keys, one for each client account
+	keys []string // bearer tokens, one per client account
 
 	streams sync.Pool // of *streamReader
 }
 
-// NewClient makes a client that calls with the given bearer keys.
+// NewClient returns a Client that authenticates with the given keys.
 func NewClient(keys []string) *Client {
 	client := &Client{keys: keys}
 	client.http = &fasthttp.Client{
@@ -38,7 +38,7 @@
 		MaxResponseBodySize: maxBodyBytes,
 		StreamResponseBody:  true,
 		Dial:                dial,
-		// A hidden retry would run a request twice without the report knowing.
+		// Retries within the HTTP client would be missing from the report.
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr: func(*fasthttp.Request, int, error) (resetTimeout, retry bool) {
 			return false, false
@@ -52,10 +52,10 @@
 	return fasthttp.DialTimeout(address, dialTimeout)
 }
 
-// FetchEntry asks a router for the entry answer of an account's key.
-func (c *Client) FetchEntry(account int) FetchEntry {
-	return func(router string) (EntryAnswer, error) {
-		body, err := c.get("http://"+router+"/v1/entry", c.keys[account])
+// FetchEntry returns a function that requests the entry answer with an account's key.
+func (c *Client) FetchEntry(accountIndex int) FetchEntry {
+	return func(address string) (EntryAnswer, error) {
+		body, err := c.get("http://"+address+"/v1/entry", c.keys[accountIndex])
 		if err != nil {
 			return EntryAnswer{}, err
 		}
@@ -63,20 +63,20 @@
 	}
 }
 
-// get fetches a JSON document. An empty credential sends none.
+// get returns the body of a successful GET. An empty credential is not sent.
 func (c *Client) get(url, credential string) ([]byte, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.SetRequestURI(url)
-	request.SetTimeout(entryTimeout)
+	request.SetTimeout(getTimeout)
 	if credential != "" {
 		request.Header.Set("Authorization", "Bearer "+credential)
 	}
 	if err := c.http.Do(request, response); err != nil {
 		return nil, errors.Wrapf(ErrNoResponse, "GET %s: %v", url, err)
 	}
-	body, err := wholeBody(response)
+	body, err := readBody(response)
 	if err != nil {
 		return nil, errors.Wrapf(err, "GET %s", url)
 	}
@@ -86,13 +86,13 @@
 	return body, nil
 }
 
-// try sends req once to address and reads the whole answer. The error is nil
-// for a whole and right answer; else it is a *Refusal or wraps ErrNoConnection,
-// ErrBroken, ErrDiffers or ErrTruncated.
-func (c *Client) try(address string, req *Request, deadline time.Time, out *reply) error {
+// try sends req once to address and reads the complete answer. The error is nil if it
+// is the expected answer; otherwise it is a *Refusal or wraps ErrNoResponse,
+// ErrInterrupted, ErrMismatch or ErrTruncated.
+func (c *Client) try(address string, req *Request, deadline time.Time, out *tryResult) error {
 	timeout := time.Until(deadline)
 	if timeout <= 0 {
-		return errors.Wrap(ErrNoResponse, "the deadline is past")
+		return errors.Wrap(ErrNoResponse, "deadline exceeded before the request was sent")
 	}
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -110,17 +110,17 @@
 	if err := c.http.Do(request, response); err != nil {
 		return errors.Wrap(ErrNoResponse, err.Error())
 	}
-	defer response.CloseBodyStream() //nolint:errcheck // a stream that can't be closed is of no use
+	defer response.CloseBodyStream() //nolint:errcheck // a failure to close does not change the result
 	out.status = response.StatusCode()
 	out.requestID = string(response.Header.Peek("X-Request-ID"))
-	return c.readAnswer(response, req, out)
+	return c.readResponse(response, req, out)
 }
 
-func (c *Client) readAnswer(response *fasthttp.Response, req *Request, out *reply) error {
+func (c *Client) readResponse(response *fasthttp.Response, req *Request, out *tryResult) error {
 	if out.status == fasthttp.StatusOK && isEventStream(response) {
 		return c.readStream(response.BodyStream(), req, out)
 	}
-	body, err := wholeBody(response)
+	body, err := readBody(response)
 	if err != nil {
 		return err
 	}
@@ -131,21 +131,21 @@
 		}
 		return refusal
 	}
-	out.mark(time.Now())
+	out.recordContent(time.Now())
 	if req.Kind == KindConfirm {
 		return checkConfirm(body, req.Key)
 	}
-	check := answerCheck{want: req.Want}
-	if err := out.readJSON(body, &check); err != nil {
+	checker := answerChecker{want: req.Want}
+	if err := out.readJSON(body, &checker); err != nil {
 		return err
 	}
 	return out.checkUsage(req.Want)
 }
 
-func (c *Client) readStream(body io.Reader, req *Request, out *reply) error {
+func (c *Client) readStream(body io.Reader, req *Request, out *tryResult) error {
 	reader := c.streams.Get().(*streamReader)
 	defer c.streams.Put(reader)
-	check := answerCheck{want: req.Want}
+	check := answerChecker{want: req.Want}
 	if err := reader.read(body, &check, out); err != nil {
 		return err
 	}
@@ -156,10 +156,10 @@
 	return bytes.HasPrefix(response.Header.ContentType(), []byte("text/event-stream"))
 }
 
-// wholeBody reads a body that isn't streamed. Its error wraps ErrBroken.
-func wholeBody(response *fasthttp.Response) ([]byte, error) {
+// readBody reads a complete body. Its error wraps ErrInterrupted.
+func readBody(response *fasthttp.Response) ([]byte, error) {
 	stream := response.BodyStream()
-	if stream == nil { // an answer without a body
+	if stream == nil { // no body
 		return nil, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(stream, maxBodyBytes))
--- a/internal/load/entry.go
+++ b/internal/load/entry.go
@@ -9,90 +9,89 @@
 	"github.com/valyala/fastjson"
 )
 
-// EntryAnswer is a router's answer to GET /v1/entry.
+// EntryAnswer is a router's answer to GET /v1/entry: the routers to send requests to.
 type EntryAnswer struct {
-	Addresses []string // "IP:port", in the order of preference
+	Addresses []string // "IP:port", in order of preference
 	TTL       time.Duration
 }
 
-// FetchEntry asks one router for its entry answer.
+// FetchEntry requests the entry answer from a router.
 type FetchEntry func(router string) (EntryAnswer, error)
 
-// Directory keeps one client account's entry answer for its time to live.
-// It is safe for concurrent use.
+// Directory caches the entry answer of one client account for its TTL. It is safe for concurrent use.
 type Directory struct {
 	routers []string
 	fetch   FetchEntry
 	now     func() time.Time
 
-	mu      sync.Mutex
-	next    int // the router to ask next
-	known   []string
-	failed  map[string]bool // of known, since the answer came
-	expires time.Time
+	mu         sync.Mutex
+	nextRouter int // index of the next router to ask; counts up
+	addresses  []string
+	failed     map[string]bool // those of addresses that failed since the answer arrived
+	expires    time.Time
 }
 
-// NewDirectory makes a directory that asks the given routers in turn.
+// NewDirectory returns a Directory that asks the given routers in turn.
 func NewDirectory(routers []string, fetch FetchEntry, now func() time.Time) *Directory {
 	return &Directory{routers: routers, fetch: fetch, now: now}
 }
 
-// Addresses gives the addresses to connect to. It asks a router only when no
-// answer is kept or the kept one is past its time to live. When no router
-// answers, an expired answer is used further: a caller has nothing better.
+// Addresses returns the addresses to connect to. It asks a router only if there is no
+// cached answer or its TTL has expired. If no router answers, it returns the expired
+// addresses, which may still work.
 func (d *Directory) Addresses() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.known) > 0 && d.now().Before(d.expires) {
-		return d.known, nil
+	if len(d.addresses) > 0 && d.now().Before(d.expires) {
+		return d.addresses, nil
 	}
-	var last error
+	var lastErr error
 	for range d.routers {
-		router := d.routers[d.next%len(d.routers)]
-		d.next++
+		router := d.routers[d.nextRouter%len(d.routers)]
+		d.nextRouter++
 		answer, err := d.fetch(router)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
-		d.known = answer.Addresses
+		d.addresses = answer.Addresses
 		d.failed = map[string]bool{}
 		d.expires = d.now().Add(answer.TTL)
-		return d.known, nil
+		return d.addresses, nil
 	}
-	if len(d.known) > 0 {
-		return d.known, nil
+	if len(d.addresses) > 0 {
+		return d.addresses, nil
 	}
-	return nil, errors.Wrap(last, "load: no router gave an entry answer")
+	return nil, errors.Wrap(lastErr, "load: no router returned an entry answer")
 }
 
-// MarkFailed notes that an address doesn't serve. It goes to the end of the kept
-// answer. Once each address has failed the answer is asked anew: all its routers
-// may have been replaced.
+// MarkFailed records that an address does not serve requests and moves it to the end
+// of the list. Once every address has failed, the cached answer expires, since all of
+// its routers may have been replaced.
 func (d *Directory) MarkFailed(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	at := slices.Index(d.known, address)
-	if at < 0 {
+	index := slices.Index(d.addresses, address)
+	if index < 0 {
 		return
 	}
-	// A new slice, as callers may hold the old one.
-	d.known = append(slices.Delete(slices.Clone(d.known), at, at+1), address)
+	// Clone, since callers may still use the old slice.
+	d.addresses = append(slices.Delete(slices.Clone(d.addresses), index, index+1), address)
 	d.failed[address] = true
-	if len(d.failed) == len(d.known) {
+	if len(d.failed) == len(d.addresses) {
 		d.expires = time.Time{}
 	}
 }
 
-// parseEntry reads {"addresses": [...], "ttl_ms": N}. An address is a string or
-// an object with "address".
+// parseEntry parses {"addresses": [...], "ttl_ms": N}. An address is a string or
+// an object with the field "address".
 func parseEntry(body []byte) (EntryAnswer, error) {
-	value, err := fastjson.ParseBytes(body)
+	document, err := fastjson.ParseBytes(body)
 	if err != nil {
 		return EntryAnswer{}, errors.Wrap(ErrInvalidEntry, err.Error())
 	}
-	answer := EntryAnswer{TTL: time.Duration(value.GetInt64("ttl_ms")) * time.Millisecond}
-	for _, element := range value.GetArray("addresses") {
+	answer := EntryAnswer{TTL: time.Duration(document.GetInt64("ttl_ms")) * time.Millisecond}
+	for _, element := range document.GetArray("addresses") {
 		address := element.GetStringBytes()
 		if element.Type() == fastjson.TypeObject {
 			address = element.GetStringBytes("address")
@@ -102,7 +101,7 @@
 		}
 	}
 	if len(answer.Addresses) == 0 {
-		return EntryAnswer{}, errors.Wrap(ErrInvalidEntry, "it names no address")
+		return EntryAnswer{}, errors.Wrap(ErrInvalidEntry, "no addresses")
 	}
 	return answer, nil
 }
--- a/internal/load/entry_test.go
+++ b/internal/load/entry_test.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-func TestEntryAnswerIsKeptForItsTTL(t *testing.T) {
+func TestEntryAnswerIsCachedForItsTTL(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	var asked []string
@@ -42,7 +42,7 @@
 	expect("b:1", "a", "b", "a", "b", "a", "b")
 }
 
-func TestFailedAddressGoesToTheEnd(t *testing.T) {
+func TestFailedAddressMovesToTheEnd(t *testing.T) {
 	c := qt.New(t)
 	fetch := func(string) (EntryAnswer, error) {
 		return EntryAnswer{Addresses: []string{"x", "y", "z"}, TTL: time.Hour}, nil
--- a/internal/load/errors.go
+++ b/internal/load/errors.go
@@ -7,37 +7,36 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of the load client. Test with errors.Is.
+// Errors of the load client, for use with errors.Is.
 var (
-	// ErrNoResponse: no answer began: connecting or sending failed, or the
-	// connection closed before the status line.
-	ErrNoResponse = errors.New("load: no connection")
-	// ErrInterrupted: an answer began and broke before its end ([DONE], or the
-	// whole body).
-	ErrInterrupted = errors.New("load: answer broken before its end")
-	// ErrMismatch: the answer's bytes aren't those that the request must get.
-	ErrMismatch = errors.New("load: answer differs from what it must be")
-	// ErrTruncated: the answer ended in good form, but before its last byte.
-	ErrTruncated = errors.New("load: answer ends early")
-	// ErrInvalidEntry: a router's entry answer can't be used.
-	ErrInvalidEntry = errors.New("load: bad entry answer")
-	// ErrLineTooLong: a line of a stream is longer than maxLineBytes.
-	ErrLineTooLong = errors.New("load: line of the stream too long")
-	// ErrInvalidConfig: the options don't make a run.
-	ErrInvalidConfig = errors.New("load: bad options")
+	// ErrNoResponse means that no response began: connecting or sending failed, the
+	// deadline passed, or the connection closed before the response header.
+	ErrNoResponse = errors.New("load: no response")
+	// ErrInterrupted means that a response ended before it was complete: before
+	// [DONE] if it is a stream, otherwise within the body.
+	ErrInterrupted = errors.New("load: answer interrupted")
+	// ErrMismatch means that an answer is not the one expected for the request.
+	ErrMismatch = errors.New("load: answer differs from the expected one")
+	// ErrTruncated means that an answer is well-formed, but shorter than expected.
+	ErrTruncated = errors.New("load: answer truncated")
+	// ErrInvalidEntry means that an entry answer is malformed or lists no address.
+	ErrInvalidEntry = errors.New("load: invalid entry answer")
+	// ErrLineTooLong means that a line of a stream is longer than maxLineBytes.
+	ErrLineTooLong = errors.New("load: stream line too long")
+	// ErrInvalidConfig means that a workload, a pace or the number of targets is not valid.
+	ErrInvalidConfig = errors.New("load: invalid options")
 )
 
-// Refusal is a typed error answer of a router.
+// Refusal is an error response of a router.
 type Refusal struct {
 	Status     int
 	Cause      string
 	Outcome    string
 	RequestID  string
-	RetryAfter time.Duration // zero: the answer named none
+	RetryAfter time.Duration // 0: not given
 	Message    string
 }
 
-// Error implements error.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("load: refused with %d (%s, %s): %s", r.Status, r.Cause, r.Outcome, r.Message)
 }
--- a/internal/load/evidence.go
+++ b/internal/load/evidence.go
@@ -6,16 +6,17 @@
 	"github.com/pkg/errors"
 )
 
-// Sources names where the evidence of a run is read. Empty parts aren't read.
+// Sources lists where to read the evidence of a run. Empty fields are skipped.
 type Sources struct {
-	Engines  []string                 // "IP:port" of each engine stand-in
-	Services []string                 // "IP:port" of each service stand-in
-	Budgets  func() ([]Budget, error) // reads the store; nil: not asked
-	// PriorRuns are the engine runs of before the run; they are left out.
+	Engines  []string                 // "IP:port" of each simulated engine
+	Services []string                 // "IP:port" of each simulated service
+	Budgets  func() ([]Budget, error) // reads the budgets from the store
+	// PriorRuns holds the request ids that engines reported before the load run. They are
+	// excluded from the evidence.
 	PriorRuns map[string]int
 }
 
-// Empty tells that there is nothing to read.
+// Empty reports whether there is nothing to read.
 func (s Sources) Empty() bool {
 	return len(s.Engines) == 0 && len(s.Services) == 0 && s.Budgets == nil
 }
@@ -40,7 +41,7 @@
 	return evidence, err
 }
 
-// engineRuns is the answer of an engine stand-in to GET /v1/runs.
+// engineRuns is the response of a simulated engine to GET /v1/runs.
 type engineRuns struct {
 	Runs []struct {
 		Request  string `json:"request"`
@@ -50,8 +51,8 @@
 	} `json:"runs"`
 }
 
-// EngineRuns counts the attempts that engines started, by request id. It is nil
-// without engines.
+// EngineRuns returns how many attempts the engines started per request id, or nil if
+// there are no addresses.
 func (c *Client) EngineRuns(addresses []string) (map[string]int, error) {
 	if len(addresses) == 0 {
 		return nil, nil
@@ -73,7 +74,7 @@
 	return counts, nil
 }
 
-// serviceRuns is the answer of a service stand-in to GET /runs.
+// serviceRuns is the response of a simulated service to GET /runs.
 type serviceRuns struct {
 	ByBody []struct {
 		ID    string `json:"id"`
@@ -81,7 +82,8 @@
 	} `json:"by_body"`
 }
 
-// gatherServiceRuns sums the runs by the calls' ids. It is nil without services.
+// gatherServiceRuns returns the number of runs per call id, or nil if there are no
+// addresses.
 func (c *Client) gatherServiceRuns(addresses []string) (map[string]int, error) {
 	if len(addresses) == 0 {
 		return nil, nil
--- a/internal/load/evidence_test.go
+++ b/internal/load/evidence_test.go
@@ -11,8 +11,8 @@
 	"chicorytiller.example/chicorytiller/internal/enginestub"
 )
 
-// serve runs a server until the test's end and gives its address.
-func serve(c *qt.C, serve func(net.Listener) error, stop func()) string {
+// startServer runs a server until the end of the test and returns its address.
+func startServer(c *qt.C, serve func(net.Listener) error, stop func()) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	done := make(chan error, 1)
@@ -24,11 +24,11 @@
 	return listener.Addr().String()
 }
 
-// Guards against a load client that reads the stand-in's runs wrongly.
-func TestEngineStandInIsUnderstood(t *testing.T) {
+// Guards against miscounting the runs that a simulated engine reports.
+func TestEngineRunsAreReadFromStub(t *testing.T) {
 	c := qt.New(t)
 	engine := enginestub.New(enginestub.Config{ChunkTokens: 3})
-	address := serve(c, engine.Serve, engine.Close)
+	address := startServer(c, engine.Serve, engine.Close)
 	workload, err := NewWorkload(WorkloadConfig{
 		Seed: 1, RunID: "run", Accounts: 1, Model: "m", PromptBytes: 64,
 		MinOutputTokens: 1, MaxOutputTokens: 40, Stream: true, Answer: enginestub.Answer,
@@ -48,14 +48,14 @@
 	c.Assert(runs, qt.DeepEquals, ids)
 }
 
-func TestServiceStandInIsUnderstood(t *testing.T) {
+func TestServiceRunsAreReadFromStub(t *testing.T) {
 	c := qt.New(t)
 	service := enginestub.NewService(enginestub.ServiceConfig{})
-	address := serve(c, service.Serve, service.Close)
+	address := startServer(c, service.Serve, service.Close)
 	var waits []time.Duration
 	caller := testCaller(&waits, address)
 	request := Request{Kind: KindConfirm, Key: "k1", Path: "/confirm", Body: mustMarshal(confirmBody{ID: "k1"})}
-	for range 2 { // the stand-in itself doesn't keep a call from running twice
+	for range 2 { // the simulated service does not deduplicate calls
 		result := caller.Call(context.Background(), request)
 		c.Assert(result.Status, qt.Equals, StatusOK, qt.Commentf("%v", result.Err))
 	}
--- a/internal/load/fixture_test.go
+++ b/internal/load/fixture_test.go
@@ -21,25 +21,25 @@
 	return testTokens, "stop"
 }
 
-// answer is one scripted answer of the fake router.
-type answer struct {
+// scriptedResponse is a response of the fake router.
+type scriptedResponse struct {
 	status     int
 	retryAfter string
-	body       string // of a plain answer
+	body       string // sent if events is nil
 	events     []string
 }
 
-// fakeRouter answers completions by a script, the last answer again and again.
+// fakeRouter returns the responses of a script in order and repeats the last one.
 type fakeRouter struct {
 	address string
 
 	mu     sync.Mutex
-	script []answer
-	keys   []string // of the calls that came
+	script []scriptedResponse
+	keys   []string // of the requests received
 	bodies []string
 }
 
-func startRouter(c *qt.C, script ...answer) *fakeRouter {
+func startRouter(c *qt.C, script ...scriptedResponse) *fakeRouter {
 	router := &fakeRouter{script: script}
 	app := fiber.New(fiber.Config{DisableStartupMessage: true})
 	app.Post("/v1/chat/completions", router.complete)
@@ -57,19 +57,19 @@
 
 func (f *fakeRouter) complete(ctx *fiber.Ctx) error {
 	f.mu.Lock()
-	next := f.script[min(len(f.keys), len(f.script)-1)]
+	response := f.script[min(len(f.keys), len(f.script)-1)]
 	f.keys = append(f.keys, strings.Clone(ctx.Get("Idempotency-Key")))
 	f.bodies = append(f.bodies, string(ctx.Body()))
 	f.mu.Unlock()
-	if next.retryAfter != "" {
-		ctx.Set("Retry-After", next.retryAfter)
+	if response.retryAfter != "" {
+		ctx.Set("Retry-After", response.retryAfter)
 	}
-	if next.events == nil {
-		return ctx.Status(next.status).SendString(next.body)
+	if response.events == nil {
+		return ctx.Status(response.status).SendString(response.body)
 	}
 	ctx.Set("Content-Type", "text/event-stream")
 	ctx.Context().SetBodyStreamWriter(func(w *bufio.Writer) {
-		for _, event := range next.events {
+		for _, event := range response.events {
 			fmt.Fprintf(w, "data: %s\n\n", event)
 			if w.Flush() != nil {
 				return
@@ -79,23 +79,23 @@
 	return nil
 }
 
-// chunk is an OpenAI chunk with content.
-func chunk(content string) string {
+// contentChunk returns an OpenAI chat-completion chunk.
+func contentChunk(content string) string {
 	text, _ := json.Marshal(content)
 	return fmt.Sprintf(`{"id":"r1","choices":[{"index":0,"delta":{"content":%s},"finish_reason":null}]}`, text)
 }
 
-func endChunk(reason string, tokens int) string {
+func finalChunk(reason string, tokens int) string {
 	return fmt.Sprintf(`{"id":"r1","choices":[{"index":0,"delta":{},"finish_reason":%q}],"usage":{"prompt_tokens":3,"completion_tokens":%d}}`, reason, tokens)
 }
 
-// wholeEvents is the right stream for testAnswer.
-func wholeEvents() []string {
+// completeEvents returns the events of the stream that testRequest expects.
+func completeEvents() []string {
 	var events []string
 	for _, token := range testTokens {
-		events = append(events, chunk(token))
+		events = append(events, contentChunk(token))
 	}
-	return append(events, endChunk("stop", len(testTokens)), "[DONE]")
+	return append(events, finalChunk("stop", len(testTokens)), "[DONE]")
 }
 
 func testRequest(t testing.TB, stream bool) Request {
@@ -107,7 +107,7 @@
 	return workload.Request(0)
 }
 
-// testCaller calls at the addresses in turn. It notes waits instead of waiting.
+// testCaller returns a Caller for the addresses that records delays instead of sleeping.
 func testCaller(waits *[]time.Duration, addresses ...string) *Caller {
 	client := NewClient([]string{"key"})
 	fetch := func(string) (EntryAnswer, error) {
--- a/internal/load/money.go
+++ b/internal/load/money.go
@@ -1,44 +1,45 @@
 package load
 
-// checkBudgets holds what was answered against what was granted, and that against what
-// was paid.
+// checkBudgets checks that answered tokens do not exceed the granted ones, nor granted
+// tokens the prepaid ones.
 func (r *Reconciliation) checkBudgets(outcomes []Outcome, budgets []Budget) {
-	granted := int64(0)
+	grantedTokens := int64(0)
 	for _, budget := range budgets {
-		granted += budget.Granted
-		if past := budget.Granted - budget.Prepaid; past > 0 {
-			r.OverspentTokens += past
-			r.example("account %s: %d granted of %d", budget.Account, budget.Granted, budget.Prepaid)
+		grantedTokens += budget.Granted
+		if excess := budget.Granted - budget.Prepaid; excess > 0 {
+			r.OverspentTokens += excess
+			r.addExample("account %s: %d granted of %d", budget.Account, budget.Granted, budget.Prepaid)
 		}
 	}
-	answered := int64(0)
+	answeredTokens := int64(0)
 	for i := range outcomes {
 		if outcomes[i].Status == StatusOK {
-			answered += outcomes[i].Usage.Total()
+			answeredTokens += outcomes[i].Usage.Total()
 		}
 	}
-	if past := answered - granted; past > 0 {
-		r.UngrantedTokens = past
-		r.example("%d tokens answered, %d granted", answered, granted)
+	if excess := answeredTokens - grantedTokens; excess > 0 {
+		r.UngrantedTokens = excess
+		r.addExample("%d tokens answered, %d granted", answeredTokens, grantedTokens)
 	}
 	r.checkBudgetRefusals(outcomes, budgets)
 }
 
-const causeBudget = "budget_exhausted"
+const causeBudgetExhausted = "budget_exhausted"
 
-// checkBudgetRefusals counts refusals for lack of budget that were certainly false: as
-// nothing is topped up during a run, what no router was granted at its end was free at
-// the refusal. Which account a key belongs to isn't known here, so all must have enough.
+// checkBudgetRefusals counts refusals for lack of budget that were certainly false.
+// Budgets are not topped up during a run, so tokens that are not granted at its end were
+// available at the refusal. The account of a key is not known here, so a refusal counts
+// only if every account had enough tokens left.
 func (r *Reconciliation) checkBudgetRefusals(outcomes []Outcome, budgets []Budget) {
 	if len(budgets) == 0 {
 		return
 	}
-	least := budgets[0].Prepaid - budgets[0].Granted
+	minRemaining := budgets[0].Prepaid - budgets[0].Granted
 	for _, budget := range budgets {
-		least = min(least, budget.Prepaid-budget.Granted)
+		minRemaining = min(minRemaining, budget.Prepaid-budget.Granted)
 	}
 	for i := range outcomes {
-		if outcomes[i].Cause == causeBudget && outcomes[i].MaxUsage <= least {
+		if outcomes[i].Cause == causeBudgetExhausted && outcomes[i].MaxUsage <= minRemaining {
 			r.FalseBudgetRefusals++
 		}
 	}
--- a/internal/load/reconcile.go
+++ b/internal/load/reconcile.go
@@ -4,110 +4,111 @@
 	"fmt"
 )
 
-// Evidence is what engines, services and the operators' API say of a run. A nil
-// part was not asked for and is not checked.
+// Evidence is what engines, services and the store report about a run. A nil field was
+// not read and is not checked.
 type Evidence struct {
-	EngineRuns  map[string]int // request id -> runs begun at engines
-	ServiceRuns map[string]int // id in the confirm body, which is the key -> runs
+	EngineRuns  map[string]int // runs started by engines, by request id
+	ServiceRuns map[string]int // runs of confirm calls, by idempotency key
 	Budgets     []Budget
 }
 
-// Budget is what the store says of one account's tokens.
+// Budget is the token budget of a client account as recorded in the store.
 type Budget struct {
 	Account string
 	Prepaid int64
-	Granted int64 // bounds what was spent
+	Granted int64 // upper bound of the tokens spent
 }
 
 // Reconciliation counts contradictions between the answers and the evidence.
 type Reconciliation struct {
 	CheckedAgainst      []string `json:"checked_against"`
-	FalseNotRun         int      `json:"untrue_refusals"`   // not_run said of what ran
-	UnexplainedRuns     int      `json:"unexplained_runs"`  // runs beyond all tries that may have run
-	DuplicateRuns       int      `json:"duplicate_runs"`    // non-idempotent runs past the first
-	ConfirmedWithoutRun int      `json:"confirmed_not_run"` // a service answer without a run
-	UngrantedTokens     int64    `json:"ungranted"`         // tokens answered beyond all that was granted
-	OverspentTokens     int64    `json:"overspend"`         // tokens
-	FalseBudgetRefusals int      `json:"false_refusals"`    // for lack of budget, with enough left at the end
+	FalseNotRun         int      `json:"untrue_refusals"`   // refused as not_run, but ran
+	UnexplainedRuns     int      `json:"unexplained_runs"`  // runs with unknown request ids beyond the indeterminate tries
+	DuplicateRuns       int      `json:"duplicate_runs"`    // runs of a non-idempotent call after its first
+	ConfirmedWithoutRun int      `json:"confirmed_not_run"` // confirm calls answered without a run
+	UngrantedTokens     int64    `json:"ungranted"`         // tokens answered beyond those granted
+	OverspentTokens     int64    `json:"overspend"`         // tokens granted beyond those prepaid
+	FalseBudgetRefusals int      `json:"false_refusals"`    // refused for lack of budget, though enough tokens were left
 	Examples            []string `json:"examples"`
 }
 
-// maxExamples bounds the examples that a report lists.
+// maxExamples limits the examples in a report.
 const maxExamples = 20
 
-// broken counts what must be zero. False refusals are measured, not promised away.
-func (r *Reconciliation) broken() int {
+// violations returns the number of violated guarantees. FalseBudgetRefusals is not part
+// of it: their absence is not guaranteed.
+func (r *Reconciliation) violations() int {
 	return r.FalseNotRun + r.UnexplainedRuns + r.DuplicateRuns + r.ConfirmedWithoutRun +
 		int(r.UngrantedTokens+r.OverspentTokens)
 }
 
-func (r *Reconciliation) example(format string, args ...any) {
+func (r *Reconciliation) addExample(format string, args ...any) {
 	if len(r.Examples) < maxExamples {
 		r.Examples = append(r.Examples, fmt.Sprintf(format, args...))
 	}
 }
 
-// Reconcile holds the outcomes of a run against the evidence. Direct are the
-// requests that were made without a router, whose runs engines report as well.
+// Reconcile checks the outcomes of a run against the evidence. direct holds the requests
+// sent to an engine without a router, which engines report as well.
 func Reconcile(outcomes, direct []Outcome, evidence Evidence) *Reconciliation {
 	r := &Reconciliation{}
 	if evidence.EngineRuns != nil {
-		r.checked(len(evidence.EngineRuns), "engines")
+		r.addSource(len(evidence.EngineRuns), "engines")
 		r.checkEngineRuns(outcomes, evidence.EngineRuns)
-		r.checkUnexplained(outcomes, direct, evidence.EngineRuns)
+		r.checkUnexplainedRuns(outcomes, direct, evidence.EngineRuns)
 	}
 	if evidence.ServiceRuns != nil {
-		r.checked(len(evidence.ServiceRuns), "services")
+		r.addSource(len(evidence.ServiceRuns), "services")
 		r.checkServiceRuns(outcomes, evidence.ServiceRuns)
 	}
 	if evidence.Budgets != nil {
-		r.checked(len(evidence.Budgets), "budgets")
+		r.addSource(len(evidence.Budgets), "budgets")
 		r.checkBudgets(outcomes, evidence.Budgets)
 	}
 	return r
 }
 
-// checked notes what was compared, and how many records it held: a check against
-// nothing finds nothing.
-func (r *Reconciliation) checked(records int, what string) {
-	r.CheckedAgainst = append(r.CheckedAgainst, fmt.Sprintf("%s (%d)", what, records))
+// addSource lists a source in the report with its number of records, because a check
+// against no records cannot find anything.
+func (r *Reconciliation) addSource(records int, source string) {
+	r.CheckedAgainst = append(r.CheckedAgainst, fmt.Sprintf("%s (%d)", source, records))
 }
 
-func (o *Outcome) saidNotRun() bool {
+func (o *Outcome) refusedNotRun() bool {
 	return o.Status == StatusRefused && o.Outcome == outcomeNotRun
 }
 
 func (r *Reconciliation) checkEngineRuns(outcomes []Outcome, runs map[string]int) {
 	for i := range outcomes {
 		outcome := &outcomes[i]
-		if outcome.Kind == KindCompletion && outcome.saidNotRun() && runs[outcome.RequestID] > 0 {
+		if outcome.Kind == KindCompletion && outcome.refusedNotRun() && runs[outcome.RequestID] > 0 {
 			r.FalseNotRun++
-			r.example("request %s was refused as not run, and an engine ran it", outcome.RequestID)
+			r.addExample("request %s was refused as not run, and an engine ran it", outcome.RequestID)
 		}
 	}
 }
 
-// checkUnexplained finds untrue refusals that name no request id. A request that
-// ran under an id which its caller never learned must be one of the tries that
-// broke off or ended as unknown. Runs beyond their number were told as not_run.
-func (r *Reconciliation) checkUnexplained(outcomes, direct []Outcome, runs map[string]int) {
-	known := map[string]bool{}
-	doubtful := 0
-	for _, all := range [][]Outcome{outcomes, direct} {
-		for i := range all {
-			known[all[i].RequestID] = true
-			doubtful += all[i].IndeterminateTries
+// checkUnexplainedRuns finds false not_run refusals that name no request id. Each run
+// whose request id no caller learned must belong to an indeterminate try. If there are
+// more such runs than indeterminate tries, the excess was refused as not_run.
+func (r *Reconciliation) checkUnexplainedRuns(outcomes, direct []Outcome, runs map[string]int) {
+	knownIDs := map[string]bool{}
+	indeterminate := 0
+	for _, group := range [][]Outcome{outcomes, direct} {
+		for i := range group {
+			knownIDs[group[i].RequestID] = true
+			indeterminate += group[i].IndeterminateTries
 		}
 	}
-	unknown := 0
+	unknownRuns := 0
 	for request := range runs {
-		if !known[request] {
-			unknown++
+		if !knownIDs[request] {
+			unknownRuns++
 		}
 	}
-	if unknown > doubtful {
-		r.UnexplainedRuns = unknown - doubtful
-		r.example("engines ran %d requests with ids that no answer named; only %d tries may have run unanswered", unknown, doubtful)
+	if unknownRuns > indeterminate {
+		r.UnexplainedRuns = unknownRuns - indeterminate
+		r.addExample("engines ran %d requests with ids that no answer named; only %d tries may have run unanswered", unknownRuns, indeterminate)
 	}
 }
 
@@ -120,15 +121,15 @@
 		count := runs[outcome.Key]
 		if count > 1 {
 			r.DuplicateRuns += count - 1
-			r.example("the confirm call with key %s ran %d times", outcome.Key, count)
+			r.addExample("the confirm call with key %s ran %d times", outcome.Key, count)
 		}
-		if outcome.saidNotRun() && count > 0 {
+		if outcome.refusedNotRun() && count > 0 {
 			r.FalseNotRun++
-			r.example("the confirm call with key %s was refused as not run, and it ran", outcome.Key)
+			r.addExample("the confirm call with key %s was refused as not run, and it ran", outcome.Key)
 		}
 		if outcome.Status == StatusOK && count == 0 {
 			r.ConfirmedWithoutRun++
-			r.example("the confirm call with key %s was answered, and it never ran", outcome.Key)
+			r.addExample("the confirm call with key %s was answered, and it never ran", outcome.Key)
 		}
 	}
 }
--- a/internal/load/reconcile_test.go
+++ b/internal/load/reconcile_test.go
@@ -12,7 +12,7 @@
 	unknown := Outcome{Key: "k", RequestID: "r", Status: StatusRefused, Outcome: "unknown"}
 	confirmed := Outcome{Key: "k", RequestID: "r", Kind: KindConfirm, Status: StatusOK}
 	confirmNotRun := Outcome{Key: "k", RequestID: "r", Kind: KindConfirm, Status: StatusRefused, Outcome: "not_run"}
-	broke := Outcome{Key: "k", Status: StatusRefused, Outcome: "not_run", IndeterminateTries: 1}
+	refusedAfterIndeterminateTry := Outcome{Key: "k", Status: StatusRefused, Outcome: "not_run", IndeterminateTries: 1}
 	refusedForBudget := Outcome{Key: "k", Status: StatusRefused, Outcome: "not_run", Cause: "budget_exhausted", MaxUsage: 5}
 	ran := func(times int) map[string]int { return map[string]int{"r": times} }
 	calls := func(times int) map[string]int { return map[string]int{"k": times} }
@@ -35,21 +35,22 @@
 		{"overspent", answered, Evidence{Budgets: []Budget{{"a", 10, 12}, {"b", 10, 1}}}, Reconciliation{OverspentTokens: 2}},
 		{"answered more than granted", answered, Evidence{Budgets: []Budget{{"a", 10, 5}, {"b", 10, 1}}}, Reconciliation{UngrantedTokens: 2}},
 		{"ran without a known id, and nothing broke", refusedForBudget, Evidence{EngineRuns: ran(1)}, Reconciliation{UnexplainedRuns: 1}},
-		{"ran without a known id, a try broke", broke, Evidence{EngineRuns: ran(1)}, Reconciliation{}},
+		{"ran without a known id, a try broke", refusedAfterIndeterminateTry, Evidence{EngineRuns: ran(1)}, Reconciliation{}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			got := Reconcile([]Outcome{test.outcome}, nil, test.evidence)
-			c.Check(got.Examples, qt.HasLen, min(1, test.want.broken()))
+			c.Check(got.Examples, qt.HasLen, min(1, test.want.violations()))
 			got.Examples, got.CheckedAgainst = nil, nil
 			c.Assert(*got, qt.DeepEquals, test.want)
 		})
 	}
 }
 
-// Guards against counting refusals as false where the rest was granted elsewhere.
-func TestFalseRefusalsAreThoseWithEnoughLeftAtTheEnd(t *testing.T) {
+// Guards against counting a refusal as false if the remaining tokens were granted to
+// other routers.
+func TestBudgetRefusalIsFalseIfEnoughTokensRemain(t *testing.T) {
 	c := qt.New(t)
 	outcomes := []Outcome{
 		{RequestID: "r", Status: StatusOK, Usage: Usage{PromptTokens: 3, CompletionTokens: 5}},
@@ -59,5 +60,5 @@
 	}
 	got := Reconcile(outcomes, nil, Evidence{Budgets: []Budget{{"a", 10, 8}, {"b", 99, 0}}})
 	c.Assert(got.FalseBudgetRefusals, qt.Equals, 1)
-	c.Assert(got.broken(), qt.Equals, 0)
+	c.Assert(got.violations(), qt.Equals, 0)
 }
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -9,42 +9,42 @@
 
 // Range and precision of the histograms.
 const (
-	lowestLatency  = time.Microsecond
-	highestLatency = 10 * time.Minute
-	latencyDigits  = 3
+	minLatency        = time.Microsecond
+	maxLatency        = 10 * time.Minute
+	significantDigits = 3
 )
 
-// Recorder gathers the results of one target. It is safe for concurrent use.
+// Recorder aggregates the results of one target. It is safe for concurrent use.
 type Recorder struct {
-	mu       sync.Mutex
-	first    *hdrhistogram.Histogram // to the first token
-	between  *hdrhistogram.Histogram // between chunks of tokens
-	whole    *hdrhistogram.Histogram
-	lag      *hdrhistogram.Histogram // behind the open loop's schedule
-	statuses map[Status]int
-	refusals map[RefusalKind]int
-	faults   []Fault
-	done     []Outcome
-	retries  int
-	broken   int
-	tokens   int64
+	mu               sync.Mutex
+	timeToFirstToken *hdrhistogram.Histogram
+	interTokenTime   *hdrhistogram.Histogram // between content chunks
+	totalTime        *hdrhistogram.Histogram
+	startLag         *hdrhistogram.Histogram // behind the open loop's schedule
+	statuses         map[Status]int
+	refusals         map[RefusalKind]int
+	faults           []Fault
+	outcomes         []Outcome
+	retries          int
+	brokenTries      int
+	tokens           int64
 }
 
-// RefusalKind groups refusals.
+// RefusalKind is the key by which refusals are counted.
 type RefusalKind struct {
 	Cause   string
 	Outcome string
 	Status  int
 }
 
-// Fault is one request that went wrong, for the report.
+// Fault describes a request that got no correct answer and was not refused.
 type Fault struct {
 	Index  int    `json:"index"`
 	Status Status `json:"status"`
 	Error  string `json:"error"`
 }
 
-// Outcome is what reconciling needs of one logical request.
+// Outcome is the part of a logical request's result that Reconcile needs.
 type Outcome struct {
 	Key                string
 	RequestID          string
@@ -53,39 +53,38 @@
 	Status             Status
 	Cause              string // of the last refusal
 	Outcome            string // of the last refusal
-	IndeterminateTries int    // tries that may have run though they brought no whole answer
+	IndeterminateTries int    // failed tries that may have been executed
 	Usage              Usage
-	// MaxUsage bounds from above what the request could use, in tokens: a token has
-	// at least one byte.
+	// MaxUsage is an upper bound of the tokens that the request could use. It counts each
+	// byte of the body as a token, since a token has at least one byte.
 	MaxUsage int64
 }
 
-// maxFaults bounds the faults that a report lists; all are counted.
+// maxFaults limits the faults listed in a report; all of them are counted.
 const maxFaults = 20
 
-// NewRecorder makes an empty recorder.
 func NewRecorder() *Recorder {
 	return &Recorder{
-		first:    newHistogram(),
-		between:  newHistogram(),
-		whole:    newHistogram(),
-		lag:      newHistogram(),
-		statuses: map[Status]int{},
-		refusals: map[RefusalKind]int{},
+		timeToFirstToken: newHistogram(),
+		interTokenTime:   newHistogram(),
+		totalTime:        newHistogram(),
+		startLag:         newHistogram(),
+		statuses:         map[Status]int{},
+		refusals:         map[RefusalKind]int{},
 	}
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(int64(lowestLatency), int64(highestLatency), latencyDigits)
+	return hdrhistogram.New(int64(minLatency), int64(maxLatency), significantDigits)
 }
 
-// Add takes one result. It keeps nothing of its body or text.
+// Add records a result. It does not retain the request's body or expected answer.
 func (r *Recorder) Add(result *Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.statuses[result.Status]++
 	r.retries += result.Tries - 1
-	r.broken += result.BrokenTries
+	r.brokenTries += result.BrokenTries
 	outcome := Outcome{
 		Key: result.Request.Key, RequestID: result.RequestID, Account: result.Request.Account,
 		Kind: result.Request.Kind, Status: result.Status, IndeterminateTries: result.IndeterminateTries, Usage: result.Usage,
@@ -101,18 +100,18 @@
 	default:
 		r.addFault(result)
 	}
-	r.done = append(r.done, outcome)
+	r.outcomes = append(r.outcomes, outcome)
 }
 
 func (r *Recorder) addLatencies(result *Result) {
-	record(r.whole, result.TotalTime)
+	record(r.totalTime, result.TotalTime)
 	if result.Request.Kind != KindCompletion {
 		return
 	}
 	r.tokens += result.Usage.CompletionTokens
-	record(r.first, result.TimeToFirstToken)
+	record(r.timeToFirstToken, result.TimeToFirstToken)
 	for _, gap := range result.InterTokenTimes {
-		record(r.between, gap)
+		record(r.interTokenTime, gap)
 	}
 }
 
@@ -122,15 +121,15 @@
 	}
 }
 
-// AddLag notes how far behind its schedule a request began.
+// AddLag records how late a request started in an open loop.
 func (r *Recorder) AddLag(lag time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	record(r.lag, lag)
+	record(r.startLag, lag)
 }
 
-// record clamps to the histogram's range, so that no value is left out.
+// record clamps d to the histogram's range, so that no value is dropped.
 func record(histogram *hdrhistogram.Histogram, d time.Duration) {
-	d = min(max(d, 0), highestLatency)
-	_ = histogram.RecordValue(int64(d)) // can't fail within the range
+	d = min(max(d, 0), maxLatency)
+	_ = histogram.RecordValue(int64(d)) // cannot fail within the range
 }
--- a/internal/load/reply.go
+++ b/internal/load/reply.go
@@ -8,40 +8,40 @@
 	"github.com/valyala/fastjson"
 )
 
-// Usage is what an answer says that it used, in tokens.
+// Usage is the token usage that an answer reports.
 type Usage struct {
 	PromptTokens     int64 `json:"prompt_tokens"`
 	CompletionTokens int64 `json:"completion_tokens"`
 }
 
-// Total is the number of tokens to be billed.
+// Total returns the number of billed tokens.
 func (u Usage) Total() int64 {
 	return u.PromptTokens + u.CompletionTokens
 }
 
-// reply is what one try got.
-type reply struct {
-	status    int
-	requestID string
-	finish    string
-	usage     Usage
-	hasUsage  bool
-	first     time.Time // of the first content
-	last      time.Time // of the newest content
-	gaps      []time.Duration
+// tryResult holds what one try received.
+type tryResult struct {
+	status          int
+	requestID       string
+	finishReason    string
+	usage           Usage
+	hasUsage        bool
+	firstContent    time.Time // arrival of the first content
+	lastContent     time.Time // arrival of the latest content
+	interTokenTimes []time.Duration
 }
 
-// mark notes that content arrived.
-func (r *reply) mark(now time.Time) {
-	if r.first.IsZero() {
-		r.first = now
+// recordContent updates the timings with the arrival of content.
+func (r *tryResult) recordContent(now time.Time) {
+	if r.firstContent.IsZero() {
+		r.firstContent = now
 	} else {
-		r.gaps = append(r.gaps, now.Sub(r.last))
+		r.interTokenTimes = append(r.interTokenTimes, now.Sub(r.lastContent))
 	}
-	r.last = now
+	r.lastContent = now
 }
 
-func (r *reply) takeUsage(value *fastjson.Value) {
+func (r *tryResult) parseUsage(value *fastjson.Value) {
 	usage := value.Get("usage")
 	if usage == nil || usage.Type() != fastjson.TypeObject {
 		return
@@ -53,8 +53,9 @@
 	}
 }
 
-// checkUsage holds the usage against the answer. Its error wraps ErrDiffers.
-func (r *reply) checkUsage(want Expected) error {
+// checkUsage compares the reported usage with the expected one. Its error wraps
+// ErrMismatch.
+func (r *tryResult) checkUsage(want Expected) error {
 	if !r.hasUsage {
 		return errors.Wrap(ErrMismatch, "no usage")
 	}
@@ -64,28 +65,28 @@
 	return nil
 }
 
-// readJSON reads a completion that was not streamed.
-func (r *reply) readJSON(body []byte, check *answerCheck) error {
+// readJSON parses and checks a completion that was not streamed.
+func (r *tryResult) readJSON(body []byte, checker *answerChecker) error {
 	value, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return errors.Wrap(ErrMismatch, "the answer is no JSON")
+		return errors.Wrap(ErrMismatch, "the answer is not JSON")
 	}
 	if id := value.GetStringBytes("id"); len(id) > 0 {
 		r.requestID = string(id)
 	}
-	r.takeUsage(value)
-	if err := check.add(value.GetStringBytes("choices", "0", "message", "content")); err != nil {
+	r.parseUsage(value)
+	if err := checker.add(value.GetStringBytes("choices", "0", "message", "content")); err != nil {
 		return err
 	}
-	return check.finish(string(value.GetStringBytes("choices", "0", "finish_reason")))
+	return checker.finish(string(value.GetStringBytes("choices", "0", "finish_reason")))
 }
 
-// checkConfirm holds a confirm call's answer against its own id: another call's
-// answer would name another one. Its error wraps ErrDiffers.
+// checkConfirm checks that the answer to a confirm call has the id of that call. Its
+// error wraps ErrMismatch.
 func checkConfirm(body []byte, id string) error {
 	value, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return errors.Wrap(ErrMismatch, "the answer is no JSON")
+		return errors.Wrap(ErrMismatch, "the answer is not JSON")
 	}
 	if got := string(value.GetStringBytes("id")); got != id {
 		return errors.Wrapf(ErrMismatch, "the answer confirms %q instead of %q", got, id)
@@ -93,29 +94,29 @@
 	return nil
 }
 
-// parseRefusal reads an error answer in the OpenAI shape. retryAfter is the
-// header of that name: whole seconds.
+// parseRefusal parses an error response in the OpenAI format. retryAfter is the value of
+// the Retry-After header in seconds.
 func parseRefusal(body []byte, status int, retryAfter string) *Refusal {
-	seconds, _ := strconv.Atoi(retryAfter) // a missing or odd header counts as none
-	wait := time.Duration(max(seconds, 0)) * time.Second
+	seconds, _ := strconv.Atoi(retryAfter) // a missing or invalid header counts as 0
+	delay := time.Duration(max(seconds, 0)) * time.Second
 	value, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return &Refusal{Status: status, RetryAfter: wait, Message: "the error is no JSON"}
+		return &Refusal{Status: status, RetryAfter: delay, Message: "the error response is not JSON"}
 	}
-	return refusalOf(value, status, wait)
+	return newRefusal(value, status, delay)
 }
 
-func refusalOf(value *fastjson.Value, status int, retryAfter time.Duration) *Refusal {
-	fault := value.Get("error")
+func newRefusal(value *fastjson.Value, status int, retryAfter time.Duration) *Refusal {
+	errorValue := value.Get("error")
 	refusal := &Refusal{
 		Status:     status,
-		Cause:      string(fault.GetStringBytes("cause")),
-		Outcome:    string(fault.GetStringBytes("outcome")),
-		RequestID:  string(fault.GetStringBytes("request_id")),
-		Message:    string(fault.GetStringBytes("message")),
+		Cause:      string(errorValue.GetStringBytes("cause")),
+		Outcome:    string(errorValue.GetStringBytes("outcome")),
+		RequestID:  string(errorValue.GetStringBytes("request_id")),
+		Message:    string(errorValue.GetStringBytes("message")),
 		RetryAfter: retryAfter,
 	}
-	if milliseconds := fault.GetInt64("retry_after_ms"); milliseconds > 0 {
+	if milliseconds := errorValue.GetInt64("retry_after_ms"); milliseconds > 0 {
 		refusal.RetryAfter = time.Duration(milliseconds) * time.Millisecond
 	}
 	return refusal
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -9,12 +9,12 @@
 	"github.com/pkg/errors"
 )
 
-// Run is a finished run, from which a report is made.
+// Run holds the results of a finished run.
 type Run struct {
-	Elapsed time.Duration
-	targets []Target
-	records []*Recorder
-	pairs   *pairRecorder
+	Elapsed   time.Duration
+	targets   []Target
+	recorders []*Recorder
+	pairs     *pairRecorder
 }
 
 // Report is the result of a run.
@@ -25,7 +25,7 @@
 	Reconciliation *Reconciliation `json:"reconciliation,omitempty"`
 }
 
-// TargetReport is what one target did.
+// TargetReport summarizes the requests to one target.
 type TargetReport struct {
 	Name              string         `json:"name"`
 	Requests          int            `json:"requests"`
@@ -39,11 +39,11 @@
 	TimeToFirstToken  Percentiles    `json:"time_to_first_token"`
 	InterTokenTime    Percentiles    `json:"between_tokens"`
 	TotalTime         Percentiles    `json:"whole"`
-	StartLag          Percentiles    `json:"start_lag"` // open loop only
+	StartLag          Percentiles    `json:"start_lag"` // behind the schedule; open loop only
 	Faults            []Fault        `json:"faults"`
 }
 
-// RefusalCount counts the refusals of one kind.
+// RefusalCount is the number of refusals of one kind.
 type RefusalCount struct {
 	Cause   string `json:"cause"`
 	Outcome string `json:"outcome"`
@@ -51,7 +51,7 @@
 	Count   int    `json:"count"`
 }
 
-// Percentiles of a latency, in milliseconds.
+// Percentiles summarizes a latency distribution in milliseconds.
 type Percentiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -60,58 +60,58 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// PairedReport compares the first target with the second to the first token.
+// PairedReport holds differences in milliseconds: first target minus second target.
 type PairedReport struct {
 	Pairs int `json:"pairs"`
-	// Differences of the targets' percentiles.
+	// Differences between the percentiles of the two targets.
 	FirstTokenP50 float64 `json:"first_token_p50_ms"`
 	FirstTokenP99 float64 `json:"first_token_p99_ms"`
 	TotalTimeP50  float64 `json:"whole_p50_ms"`
 	TotalTimeP99  float64 `json:"whole_p99_ms"`
-	// Percentiles of the differences pair by pair.
+	// Percentiles of the per-request differences in time to first token.
 	PairP50 float64 `json:"pair_p50_ms"`
 	PairP99 float64 `json:"pair_p99_ms"`
 }
 
-// Report makes the report of a run.
+// Report returns the report of the run.
 func (r *Run) Report() *Report {
 	report := &Report{ElapsedSeconds: r.Elapsed.Seconds()}
 	for i, target := range r.targets {
-		report.Targets = append(report.Targets, r.records[i].report(target.Name, r.Elapsed))
+		report.Targets = append(report.Targets, r.recorders[i].report(target.Name, r.Elapsed))
 	}
 	if len(report.Targets) == 2 {
-		report.Paired = r.paired(report.Targets[0], report.Targets[1])
+		report.Paired = r.pairedReport(report.Targets[0], report.Targets[1])
 	}
 	return report
 }
 
-// Outcomes gives the logical requests of the first target, for reconciling.
+// Outcomes returns the outcomes of the first target, for Reconcile.
 func (r *Run) Outcomes() []Outcome {
-	return r.records[0].done
+	return r.recorders[0].outcomes
 }
 
-// DirectOutcomes gives the logical requests of the second target, if there is one.
+// DirectOutcomes returns the outcomes of the second target, or nil if there is none.
 func (r *Run) DirectOutcomes() []Outcome {
-	if len(r.records) < 2 {
+	if len(r.recorders) < 2 {
 		return nil
 	}
-	return r.records[1].done
+	return r.recorders[1].outcomes
 }
 
 func (r *Recorder) report(name string, elapsed time.Duration) TargetReport {
 	report := TargetReport{
 		Name:              name,
-		Requests:          len(r.done),
+		Requests:          len(r.outcomes),
 		Statuses:          r.statuses,
 		Retries:           r.retries,
-		BrokenTries:       r.broken,
+		BrokenTries:       r.brokenTries,
 		Tokens:            r.tokens,
-		RequestsPerSecond: float64(len(r.done)) / elapsed.Seconds(),
+		RequestsPerSecond: float64(len(r.outcomes)) / elapsed.Seconds(),
 		TokensPerSecond:   float64(r.tokens) / elapsed.Seconds(),
-		TimeToFirstToken:  percentilesOf(r.first),
-		InterTokenTime:    percentilesOf(r.between),
-		TotalTime:         percentilesOf(r.whole),
-		StartLag:          percentilesOf(r.lag),
+		TimeToFirstToken:  newPercentiles(r.timeToFirstToken),
+		InterTokenTime:    newPercentiles(r.interTokenTime),
+		TotalTime:         newPercentiles(r.totalTime),
+		StartLag:          newPercentiles(r.startLag),
 		Faults:            r.faults,
 	}
 	for kind, count := range r.refusals {
@@ -123,7 +123,7 @@
 	return report
 }
 
-func percentilesOf(h *hdrhistogram.Histogram) Percentiles {
+func newPercentiles(h *hdrhistogram.Histogram) Percentiles {
 	return Percentiles{
 		Count: h.TotalCount(),
 		P50:   milliseconds(time.Duration(h.ValueAtQuantile(50))),
@@ -133,7 +133,7 @@
 	}
 }
 
-func (r *Run) paired(first, second TargetReport) *PairedReport {
+func (r *Run) pairedReport(first, second TargetReport) *PairedReport {
 	differences := slices.Clone(r.pairs.differences)
 	slices.Sort(differences)
 	return &PairedReport{
@@ -147,7 +147,7 @@
 	}
 }
 
-// quantile takes the nearest rank of sorted values.
+// quantile returns the q-quantile of sorted by nearest rank.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -159,20 +159,20 @@
 	return float64(d) / float64(time.Millisecond)
 }
 
-// Violations counts what must be zero: answers lost, spliced or truncated, and what
-// the reconciliation found.
+// Violations returns the number of violated guarantees: lost, spliced and truncated
+// answers, and those that the reconciliation found.
 func (r *Report) Violations() int {
 	count := 0
 	for _, target := range r.Targets {
 		count += target.Statuses[StatusLost] + target.Statuses[StatusSpliced] + target.Statuses[StatusTruncated]
 	}
 	if r.Reconciliation != nil {
-		count += r.Reconciliation.broken()
+		count += r.Reconciliation.violations()
 	}
 	return count
 }
 
-// JSON writes the report as indented JSON.
+// JSON returns the report as indented JSON.
 func (r *Report) JSON() ([]byte, error) {
 	data, err := json.MarshalIndent(r, "", "  ")
 	return append(data, '\n'), errors.WithStack(err)
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -10,63 +10,63 @@
 	"github.com/sourcegraph/conc"
 )
 
-// maxInFlight bounds the open loop. When it is reached the loop falls behind its
-// schedule, which the report shows as start lag.
+// maxInFlight limits the concurrent requests of an open loop. At the limit the loop falls
+// behind its schedule, which the report shows as start lag.
 const maxInFlight = 20000
 
-// Pace says how many requests a run makes and how fast.
+// Pace sets the number of requests of a run and their rate or concurrency.
 type Pace struct {
-	Requests    int           // 0: until Duration is over
-	Duration    time.Duration // 0: until Requests are made
-	Rate        float64       // requests a second, open loop; 0: closed loop
+	Requests    int           // 0: unlimited
+	Duration    time.Duration // 0: unlimited
+	Rate        float64       // requests per second of an open loop; 0: closed loop
 	Concurrency int           // of the closed loop
 }
 
 func (p Pace) validate() error {
 	switch {
 	case p.Requests <= 0 && p.Duration <= 0:
-		return errors.Wrap(ErrInvalidConfig, "give a number of requests or a duration")
+		return errors.Wrap(ErrInvalidConfig, "a number of requests or a duration is required")
 	case p.Rate < 0:
-		return errors.Wrap(ErrInvalidConfig, "the rate must be positive")
+		return errors.Wrap(ErrInvalidConfig, "the rate must not be negative")
 	case p.Rate == 0 && p.Concurrency < 1:
-		return errors.Wrap(ErrInvalidConfig, "give a rate or a concurrency")
+		return errors.Wrap(ErrInvalidConfig, "a rate or a concurrency is required")
 	}
 	return nil
 }
 
-// Target is a way to carry out requests, under the name that the report gives it.
+// Target is a destination of requests, with its name in the report.
 type Target struct {
 	Name   string
 	Caller *Caller
 }
 
-// Runner runs a workload. With two targets each request goes to both, one after
-// the other, in alternating order: measurements are then paired.
+// Runner runs a workload. With two targets it sends each request to both, one after the
+// other in alternating order, so that their latencies can be compared in pairs.
 type Runner struct {
-	workload *Workload
-	pace     Pace
-	targets  []Target
-	records  []*Recorder
-	pairs    *pairRecorder
+	workload  *Workload
+	pace      Pace
+	targets   []Target
+	recorders []*Recorder
+	pairs     *pairRecorder
 }
 
-// NewRunner makes a runner over one or two targets. Its error wraps ErrBadConfig.
+// NewRunner returns a Runner for one or two targets. Its error wraps ErrInvalidConfig.
 func NewRunner(workload *Workload, pace Pace, targets ...Target) (*Runner, error) {
 	if err := pace.validate(); err != nil {
 		return nil, err
 	}
 	if len(targets) < 1 || len(targets) > 2 {
-		return nil, errors.Wrap(ErrInvalidConfig, "one or two targets are needed")
+		return nil, errors.Wrap(ErrInvalidConfig, "one or two targets are required")
 	}
 	runner := &Runner{workload: workload, pace: pace, targets: targets, pairs: &pairRecorder{}}
 	for range targets {
-		runner.records = append(runner.records, NewRecorder())
+		runner.recorders = append(runner.recorders, NewRecorder())
 	}
 	return runner, nil
 }
 
-// Run makes the requests and returns once each has ended. An ended ctx stops new
-// requests and waits no longer between tries.
+// Run sends the requests and returns once all have ended. When ctx is done, it sends no
+// new requests, and those under way end instead of waiting for a retry.
 func (r *Runner) Run(ctx context.Context) *Run {
 	start := time.Now()
 	if r.pace.Rate > 0 {
@@ -74,11 +74,11 @@
 	} else {
 		r.closedLoop(ctx, start)
 	}
-	return &Run{Elapsed: time.Since(start), targets: r.targets, records: r.records, pairs: r.pairs}
+	return &Run{Elapsed: time.Since(start), targets: r.targets, recorders: r.recorders, pairs: r.pairs}
 }
 
-// more tells whether the request of this index is still to be made.
-func (r *Runner) more(ctx context.Context, index int, start time.Time) bool {
+// shouldSend reports whether the request with this index is within the pace's limits.
+func (r *Runner) shouldSend(ctx context.Context, index int, start time.Time) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -95,10 +95,10 @@
 		group.Go(func() {
 			for {
 				index := int(next.Add(1)) - 1
-				if !r.more(ctx, index, start) {
+				if !r.shouldSend(ctx, index, start) {
 					return
 				}
-				r.one(ctx, index, 0)
+				r.send(ctx, index, 0)
 			}
 		})
 	}
@@ -107,40 +107,40 @@
 
 func (r *Runner) openLoop(ctx context.Context, start time.Time) {
 	var group conc.WaitGroup
-	slots := make(chan struct{}, maxInFlight)
-	for index := 0; r.more(ctx, index, start); index++ {
-		due := start.Add(time.Duration(float64(index) / r.pace.Rate * float64(time.Second)))
-		if wait := time.Until(due); wait > 0 && sleep(ctx, wait) != nil {
+	inFlight := make(chan struct{}, maxInFlight)
+	for index := 0; r.shouldSend(ctx, index, start); index++ {
+		scheduled := start.Add(time.Duration(float64(index) / r.pace.Rate * float64(time.Second)))
+		if wait := time.Until(scheduled); wait > 0 && sleep(ctx, wait) != nil {
 			break
 		}
-		slots <- struct{}{}
+		inFlight <- struct{}{}
 		group.Go(func() {
-			defer func() { <-slots }()
-			r.one(ctx, index, time.Since(due))
+			defer func() { <-inFlight }()
+			r.send(ctx, index, time.Since(scheduled))
 		})
 	}
 	group.Wait()
 }
 
-// one carries out the request of an index at each target.
-func (r *Runner) one(ctx context.Context, index int, lag time.Duration) {
+// send sends the request with this index to each target and records the results.
+func (r *Runner) send(ctx context.Context, index int, lag time.Duration) {
 	request := r.workload.Request(index)
 	results := make([]Result, len(r.targets))
-	for turn := range r.targets {
-		which := (turn + index) % len(r.targets)
-		results[which] = r.targets[which].Caller.Call(ctx, request)
-		r.records[which].Add(&results[which])
+	for step := range r.targets {
+		target := (step + index) % len(r.targets)
+		results[target] = r.targets[target].Caller.Call(ctx, request)
+		r.recorders[target].Add(&results[target])
 	}
 	if r.pace.Rate > 0 {
-		r.records[0].AddLag(lag)
+		r.recorders[0].AddLag(lag)
 	}
 	if len(results) == 2 && results[0].Status == StatusOK && results[1].Status == StatusOK {
 		r.pairs.add(results[0].TimeToFirstToken - results[1].TimeToFirstToken)
 	}
 }
 
-// pairRecorder keeps what the first target took longer than the second to the
-// first token, pair by pair.
+// pairRecorder collects the differences in time to first token between the two targets,
+// one per request.
 type pairRecorder struct {
 	mu          sync.Mutex
 	differences []time.Duration
--- a/internal/load/sse.go
+++ b/internal/load/sse.go
@@ -10,16 +10,16 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxLineBytes bounds one line of a stream.
+// maxLineBytes limits the length of a line of a stream.
 const maxLineBytes = 64 << 10
 
 var (
 	dataPrefix = []byte("data:")
-	doneData   = []byte("[DONE]")
+	doneMarker = []byte("[DONE]")
 )
 
-// eventReader reads the data of server-sent events. OpenAI streams put one JSON
-// value in one data line, so that each data line is one event.
+// eventReader reads the data of server-sent events. It treats each data line as one
+// event, since OpenAI streams put a complete JSON value in each.
 type eventReader struct {
 	lines *bufio.Reader
 }
@@ -32,7 +32,7 @@
 	r.lines.Reset(body)
 }
 
-// next gives the next event's data, valid until the following call. It returns
+// next returns the next event's data, valid until the following call. It returns
 // io.EOF at the end of the body and ErrLineTooLong for a line past maxLineBytes.
 func (r *eventReader) next() ([]byte, error) {
 	for {
@@ -41,7 +41,7 @@
 			return nil, ErrLineTooLong
 		}
 		if err != nil {
-			// A line without its end is part of a broken event, so it is dropped.
+			// An unterminated line belongs to an incomplete event and is dropped.
 			return nil, err
 		}
 		data, found := bytes.CutPrefix(line, dataPrefix)
@@ -51,56 +51,56 @@
 	}
 }
 
-// streamReader reads one streamed completion. It is for one goroutine and is
-// used again for later streams.
+// streamReader reads a streamed completion. It can be reused for further streams, but
+// not concurrently.
 type streamReader struct {
 	events *eventReader
 	parser fastjson.Parser
 }
 
-// read reads a stream up to [DONE] and the body's end, and checks it against
-// check. It fills reply. A *Refusal is an error event within the stream.
-func (s *streamReader) read(body io.Reader, check *answerCheck, reply *reply) error {
+// read reads a stream to the end of the body, checks its content with checker and fills
+// out. The error is a *Refusal if the stream has an error event.
+func (s *streamReader) read(body io.Reader, checker *answerChecker, out *tryResult) error {
 	s.events.reset(body)
 	for {
 		data, err := s.events.next()
 		if err != nil {
-			return errors.Wrapf(ErrInterrupted, "after %d bytes: %v", check.position, err)
+			return errors.Wrapf(ErrInterrupted, "after %d bytes: %v", checker.offset, err)
 		}
-		if bytes.Equal(data, doneData) {
+		if bytes.Equal(data, doneMarker) {
 			break
 		}
-		if err := s.chunk(data, check, reply); err != nil {
+		if err := s.readChunk(data, checker, out); err != nil {
 			return err
 		}
 	}
-	// The body's end is read too, so that the connection can be used again.
+	// The connection can be reused only if the body is read to its end.
 	if _, err := s.events.next(); err == nil {
 		return errors.Wrap(ErrMismatch, "an event follows [DONE]")
 	}
-	return check.finish(reply.finish)
+	return checker.finish(out.finishReason)
 }
 
-// chunk takes one chunk of the stream.
-func (s *streamReader) chunk(data []byte, check *answerCheck, reply *reply) error {
+// readChunk parses and checks one chunk of the stream.
+func (s *streamReader) readChunk(data []byte, checker *answerChecker, out *tryResult) error {
 	value, err := s.parser.ParseBytes(data)
 	if err != nil {
-		return errors.Wrap(ErrMismatch, "a chunk is no JSON")
+		return errors.Wrap(ErrMismatch, "a chunk is not JSON")
 	}
 	if value.Exists("error") {
-		return refusalOf(value, reply.status, 0)
+		return newRefusal(value, out.status, 0)
 	}
-	if id := value.GetStringBytes("id"); len(id) > 0 && reply.requestID == "" {
-		reply.requestID = string(id)
+	if id := value.GetStringBytes("id"); len(id) > 0 && out.requestID == "" {
+		out.requestID = string(id)
 	}
-	reply.takeUsage(value)
+	out.parseUsage(value)
 	content := value.GetStringBytes("choices", "0", "delta", "content")
 	if reason := value.GetStringBytes("choices", "0", "finish_reason"); len(reason) > 0 {
-		reply.finish = string(reason)
+		out.finishReason = string(reason)
 	}
 	if len(content) == 0 {
 		return nil
 	}
-	reply.mark(time.Now())
-	return check.add(content)
+	out.recordContent(time.Now())
+	return checker.add(content)
 }
--- a/internal/load/sse_test.go
+++ b/internal/load/sse_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func streamOf(events []string) string {
+func encodeEvents(events []string) string {
 	var text strings.Builder
 	for _, event := range events {
 		text.WriteString("data: " + event + "\n\n")
@@ -17,7 +17,7 @@
 	return text.String()
 }
 
-func wanted() Expected {
+func testExpected() Expected {
 	return Expected{Text: strings.Join(testTokens, ""), FinishReason: "stop", Tokens: len(testTokens)}
 }
 
@@ -38,21 +38,20 @@
 	c.Assert(err, qt.ErrorIs, ErrLineTooLong)
 }
 
-// FuzzStream holds the one promise that the checks rest on: a stream passes only
-// if it holds exactly the wanted text, whatever its bytes are.
+// FuzzStream checks that no stream is accepted unless it holds exactly the expected text.
 func FuzzStream(f *testing.F) {
-	whole := streamOf(wholeEvents())
+	whole := encodeEvents(completeEvents())
 	f.Add([]byte(whole))
 	f.Add([]byte(whole[:len(whole)/2]))
 	f.Add([]byte("data: {\"error\":{\"cause\":\"internal\"}}\n\n"))
 	f.Add([]byte("data: {\"choices\":[{\"delta\":7}],\"usage\":[]}\ndata: [DONE]\n"))
 	f.Fuzz(func(t *testing.T, stream []byte) {
 		reader := &streamReader{events: newEventReader()}
-		check := answerCheck{want: wanted()}
-		var out reply
+		check := answerChecker{want: testExpected()}
+		var out tryResult
 		err := reader.read(bytes.NewReader(stream), &check, &out)
-		if err == nil && (check.position != len(check.want.Text) || out.finish != "stop") {
-			t.Fatalf("a stream passed at byte %d with finish reason %q", check.position, out.finish)
+		if err == nil && (check.offset != len(check.want.Text) || out.finishReason != "stop") {
+			t.Fatalf("a stream passed at byte %d with finish reason %q", check.offset, out.finishReason)
 		}
 	})
 }
@@ -62,16 +61,16 @@
 	token := "harbour "
 	events := make([]string, 0, tokens+2)
 	for range tokens {
-		events = append(events, chunk(token))
+		events = append(events, contentChunk(token))
 	}
-	events = append(events, endChunk("stop", tokens), "[DONE]")
-	stream := []byte(streamOf(events))
+	events = append(events, finalChunk("stop", tokens), "[DONE]")
+	stream := []byte(encodeEvents(events))
 	want := Expected{Text: strings.Repeat(token, tokens), FinishReason: "stop", Tokens: tokens}
 	reader := &streamReader{events: newEventReader()}
 	b.ReportAllocs()
 	for b.Loop() {
-		check := answerCheck{want: want}
-		var out reply
+		check := answerChecker{want: want}
+		var out tryResult
 		if err := reader.read(bytes.NewReader(stream), &check, &out); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// WriteTable writes the report for a reader.
+// WriteTable writes the report as plain-text tables.
 func (r *Report) WriteTable(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for i := range r.Targets {
@@ -24,7 +24,7 @@
 	return errors.WithStack(table.Flush())
 }
 
-// An empty line ends a tabwriter's columns, so that each block has its own widths.
+// An empty line ends the columns of a tabwriter, so that each block has its own widths.
 
 func writeTarget(w io.Writer, t *TargetReport, seconds float64) {
 	fmt.Fprintf(w, "target %s: %d requests in %.1f s (%.1f/s), %d tokens (%.0f/s)\n\n",
--- a/internal/load/turns.go
+++ b/internal/load/turns.go
@@ -2,34 +2,34 @@
 
 import "slices"
 
-// turns chooses the address of each try of one request: the best one that it
-// hasn't tried yet.
-type turns struct {
+// addressPicker chooses the address of each try of a request: the first in order of
+// preference that has not been tried. Once all have been tried, it starts over.
+type addressPicker struct {
 	directory *Directory
-	offset    int // where in the answer to begin
+	offset    int // index of the address to start at
 	tried     []string
-	more      bool // addresses are left untried
+	remaining bool // whether an address is untried
 }
 
-func (t *turns) address() (string, error) {
-	addresses, err := t.directory.Addresses()
+func (p *addressPicker) next() (string, error) {
+	addresses, err := p.directory.Addresses()
 	if err != nil {
 		return "", err
 	}
-	address := t.untried(addresses)
+	address := p.untried(addresses)
 	if address == "" {
-		t.tried = nil
-		address = t.untried(addresses)
+		p.tried = nil
+		address = p.untried(addresses)
 	}
-	t.tried = append(t.tried, address)
-	t.more = t.untried(addresses) != ""
+	p.tried = append(p.tried, address)
+	p.remaining = p.untried(addresses) != ""
 	return address, nil
 }
 
-func (t *turns) untried(addresses []string) string {
+func (p *addressPicker) untried(addresses []string) string {
 	for i := range addresses {
-		address := addresses[(t.offset+i)%len(addresses)]
-		if !slices.Contains(t.tried, address) {
+		address := addresses[(p.offset+i)%len(addresses)]
+		if !slices.Contains(p.tried, address) {
 			return address
 		}
 	}
--- a/internal/load/workload.go
+++ b/internal/load/workload.go
@@ -1,6 +1,6 @@
-// Package load is the load client of the fleet: it calls the routers as a real
-// caller does, checks each answer byte for byte, measures latencies, and holds
-// budgets and runs against the answers that it got.
+// Package load generates load on the routers as client applications do. It checks each
+// answer byte for byte, measures latencies, and reconciles the answers with the token
+// budgets and with the runs that engines and services report.
 package load
 
 import (
@@ -13,43 +13,43 @@
 	"github.com/pkg/errors"
 )
 
-// AnswerFunc gives the tokens and the finish reason that an engine must produce
-// for a chat-completions body. enginestub.Answer is one.
+// AnswerFunc returns the tokens and the finish reason that an engine must produce for a
+// chat-completions body, as enginestub.Answer does.
 type AnswerFunc func(model string, body []byte, maxTokens int) (tokens []string, finish string)
 
-// Kind tells completions from service calls.
+// Kind is the kind of a request.
 type Kind int
 
 // Kinds of requests.
 const (
 	KindCompletion Kind = iota
-	KindConfirm         // a non-idempotent call of a plain service
+	KindConfirm         // a non-idempotent call of a service
 )
 
-// WorkloadConfig fixes a workload. The same values give the same requests,
-// but for their idempotency keys, which start with RunID.
+// WorkloadConfig configures a workload. Equal values give equal requests. Idempotency
+// keys start with RunID; nothing else of a completion depends on it.
 type WorkloadConfig struct {
 	Seed            uint64
 	RunID           string
 	Accounts        int
 	Model           string
 	PromptBytes     int
-	MinOutputTokens int // tokens
-	MaxOutputTokens int // tokens
+	MinOutputTokens int
+	MaxOutputTokens int
 	Stream          bool
 	Service         string
-	ServiceShare    float64 // 0..1, the part of requests that are confirm calls
-	// UnkeyedShare is the part of the completions that are sent without an idempotency
-	// key, 0..1: each try of those is a request of its own.
+	ServiceShare    float64 // 0..1, the fraction of requests that are confirm calls
+	// UnkeyedShare is the fraction of completions that are sent without an idempotency key,
+	// 0..1. Routers treat each try of such a completion as a separate request.
 	UnkeyedShare float64
 	Answer       AnswerFunc
 }
 
-// Request is one logical request: all its tries share the key and the body.
+// Request is a logical request. All its tries have the same key and body.
 type Request struct {
 	Index   int
 	Kind    Kind
-	Account int // index of the caller's key
+	Account int // index of the client account's API key
 	Key     string
 	Unkeyed bool // the key is not sent
 	Path    string
@@ -57,50 +57,50 @@
 	Want    Expected
 }
 
-// Expected is the answer that a completion must get.
+// Expected is the correct answer to a completion request.
 type Expected struct {
 	Text         string
 	FinishReason string
 	Tokens       int
 }
 
-// Workload makes the requests of a run. It is safe for concurrent use.
+// Workload generates the requests of a run. It is safe for concurrent use.
 type Workload struct {
 	cfg WorkloadConfig
 }
 
-// NewWorkload checks cfg. Its error wraps ErrBadConfig.
+// NewWorkload validates cfg. Its error wraps ErrInvalidConfig.
 func NewWorkload(cfg WorkloadConfig) (*Workload, error) {
 	switch {
 	case cfg.Accounts < 1:
-		return nil, errors.Wrap(ErrInvalidConfig, "at least one key is needed")
+		return nil, errors.Wrap(ErrInvalidConfig, "at least one key is required")
 	case cfg.MinOutputTokens < 1 || cfg.MaxOutputTokens < cfg.MinOutputTokens:
 		return nil, errors.Wrap(ErrInvalidConfig, "output tokens must be N or MIN-MAX with 1 <= MIN <= MAX")
 	case cfg.ServiceShare < 0 || cfg.ServiceShare > 1:
 		return nil, errors.Wrap(ErrInvalidConfig, "the service share must be in 0..1")
 	case cfg.ServiceShare > 0 && cfg.Service == "":
-		return nil, errors.Wrap(ErrInvalidConfig, "a service share needs the service's name")
+		return nil, errors.Wrap(ErrInvalidConfig, "a service share requires a service name")
 	case cfg.Answer == nil:
 		return nil, errors.Wrap(ErrInvalidConfig, "no answer function")
 	}
 	return &Workload{cfg: cfg}, nil
 }
 
-// Request makes the request of the given index. It depends on nothing but the
-// configuration and the index, so that the order of the calls doesn't matter.
+// Request generates the request with the given index. It depends only on the
+// configuration and the index, so the order of calls does not matter.
 func (w *Workload) Request(index int) Request {
-	random := rand.New(rand.NewPCG(w.cfg.Seed, uint64(index)))
+	rng := rand.New(rand.NewPCG(w.cfg.Seed, uint64(index)))
 	req := Request{
 		Index:   index,
-		Account: random.IntN(w.cfg.Accounts),
+		Account: rng.IntN(w.cfg.Accounts),
 		Key:     w.cfg.RunID + "-" + strconv.Itoa(index),
 	}
-	if random.Float64() < w.cfg.ServiceShare {
+	if rng.Float64() < w.cfg.ServiceShare {
 		w.fillConfirm(&req)
 		return req
 	}
-	req.Unkeyed = random.Float64() < w.cfg.UnkeyedShare
-	w.fillCompletion(&req, random)
+	req.Unkeyed = rng.Float64() < w.cfg.UnkeyedShare
+	w.fillCompletion(&req, rng)
 	return req
 }
 
@@ -121,12 +121,12 @@
 	StreamOptions *streamOptions `json:"stream_options,omitempty"`
 }
 
-func (w *Workload) fillCompletion(req *Request, random *rand.Rand) {
-	length := w.cfg.MinOutputTokens + random.IntN(w.cfg.MaxOutputTokens-w.cfg.MinOutputTokens+1)
+func (w *Workload) fillCompletion(req *Request, rng *rand.Rand) {
+	outputTokens := w.cfg.MinOutputTokens + rng.IntN(w.cfg.MaxOutputTokens-w.cfg.MinOutputTokens+1)
 	body := chatBody{
 		Model:     w.cfg.Model,
-		Messages:  []chatMessage{{Role: "user", Content: prompt(random, req.Index, length, w.cfg.PromptBytes)}},
-		MaxTokens: length,
+		Messages:  []chatMessage{{Role: "user", Content: newPrompt(rng, req.Index, outputTokens, w.cfg.PromptBytes)}},
+		MaxTokens: outputTokens,
 		Stream:    w.cfg.Stream,
 	}
 	if w.cfg.Stream {
@@ -135,12 +135,12 @@
 	req.Kind = KindCompletion
 	req.Path = "/v1/chat/completions"
 	req.Body = mustMarshal(body)
-	tokens, finish := w.cfg.Answer(w.cfg.Model, req.Body, length)
+	tokens, finish := w.cfg.Answer(w.cfg.Model, req.Body, outputTokens)
 	req.Want = Expected{Text: strings.Join(tokens, ""), FinishReason: finish, Tokens: len(tokens)}
 }
 
-// confirmBody is the body of a confirm call and part of its answer. The id is the
-// idempotency key, so that the service's list of runs can be held against the calls.
+// confirmBody is the body of a confirm call. The answer repeats its id, which is the
+// idempotency key, so that the runs listed by a service can be matched with the calls.
 type confirmBody struct {
 	ID string `json:"id"`
 }
@@ -151,13 +151,14 @@
 	req.Body = mustMarshal(confirmBody{ID: req.Key})
 }
 
-// prompt starts with the index and the wanted length, so that no two requests
-// have the same answer: a splice of two answers then shows in the bytes.
-func prompt(random *rand.Rand, index, length, size int) string {
+// newPrompt returns a prompt of at least minBytes. It starts with the output length and
+// the index, so that every request has a different answer and a splice of two answers
+// shows in the bytes.
+func newPrompt(rng *rand.Rand, index, outputTokens, minBytes int) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "len=%d request %d ", length, index)
-	for text.Len() < size {
-		text.WriteByte("abcdefghijklmnopqrstuvwxyz     "[random.IntN(31)])
+	fmt.Fprintf(&text, "len=%d request %d ", outputTokens, index)
+	for text.Len() < minBytes {
+		text.WriteByte("abcdefghijklmnopqrstuvwxyz     "[rng.IntN(31)])
 	}
 	return text.String()
 }
@@ -165,7 +166,7 @@
 func mustMarshal(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // the types above hold only strings, numbers and booleans
+		panic(err) // the types above always encode
 	}
 	return data
 }
--- a/internal/load/workload_test.go
+++ b/internal/load/workload_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestWorkloadIsFixedByItsSeed(t *testing.T) {
+func TestWorkloadIsDeterminedByItsSeed(t *testing.T) {
 	c := qt.New(t)
 	cfg := WorkloadConfig{
 		Seed: 7, RunID: "a", Accounts: 3, Model: "m", PromptBytes: 80, MinOutputTokens: 4, MaxOutputTokens: 9,
@@ -21,19 +21,19 @@
 	c.Assert(err, qt.IsNil)
 
 	const requests = 1000
-	keys, confirms, same := map[string]bool{}, 0, 0
+	keys, confirmCalls, equalBodies := map[string]bool{}, 0, 0
 	for i := requests - 1; i >= 0; i-- {
 		request := first.Request(i)
 		c.Assert(request, qt.DeepEquals, second.Request(i))
 		keys[request.Key] = true
 		if request.Kind == KindConfirm {
-			confirms++
+			confirmCalls++
 		}
 		if string(request.Body) == string(other.Request(i).Body) && request.Kind == KindCompletion {
-			same++
+			equalBodies++
 		}
 	}
 	c.Assert(keys, qt.HasLen, requests)
-	c.Assert(confirms > 200 && confirms < 300, qt.IsTrue, qt.Commentf("%d confirm calls", confirms))
-	c.Assert(same, qt.Equals, 0)
+	c.Assert(confirmCalls > 200 && confirmCalls < 300, qt.IsTrue, qt.Commentf("%d confirm calls", confirmCalls))
+	c.Assert(equalBodies, qt.Equals, 0)
 }
