--- a/cmd/chicory-dev/main.go
+++ b/cmd/chicory-dev/main.go
@@ -22,15 +22,15 @@
 	app.Version(version.Version)
 	app.HelpFlag.Short('h')
 	options := dev.Options{
-		ServeWith: platform.StoreHandler,
-		Open:      func(address string) store.Store { return platform.NewStore(address) },
+		NewStoreHandler: platform.StoreHandler,
+		OpenStore:       func(address string) store.Store { return platform.NewStore(address) },
 	}
 	app.Flag("routers", "Number of routers.").Default("3").IntVar(&options.Routers)
 	app.Flag("engines", "Number of engines.").Default("3").IntVar(&options.Engines)
 	app.Flag("slots", "Requests that one engine runs at once.").Default("16").IntVar(&options.Slots)
-	app.Flag("token-time", "Time between two tokens of an engine.").Default("20ms").DurationVar(&options.Token)
-	app.Flag("first-port", "Port of the first router's callers' listener; the others follow. 0 takes free ones.").Default("8080").IntVar(&options.FirstAt)
-	app.Flag("store-port", "Port of the store. 0 takes a free one.").Default("8079").IntVar(&options.StoreAt)
+	app.Flag("token-time", "Time between two tokens of an engine.").Default("20ms").DurationVar(&options.TokenTime)
+	app.Flag("first-port", "Port of the first router's callers' listener; the others follow. 0 takes free ones.").Default("8080").IntVar(&options.FirstPort)
+	app.Flag("store-port", "Port of the store. 0 takes a free one.").Default("8079").IntVar(&options.StorePort)
 	logFile := app.Flag("log", "File for the events of all routers.").Default(os.DevNull).String()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if err := run(options, *logFile); err != nil {
--- a/cmd/chicory-soak/main.go
+++ b/cmd/chicory-soak/main.go
@@ -21,8 +21,8 @@
 func main() {
 	app := kingpin.New("chicory-soak", "Plays random faults on the real programs and checks the promises.")
 	app.Version(version.Version)
-	o := soak.Options{Out: os.Stdout, Open: func(address string) store.Store { return platform.NewStore(address) }}
-	app.Flag("programs", "Directory of the built programs.").Default("bin").StringVar(&o.Programs)
+	o := soak.Options{Out: os.Stdout, OpenStore: func(address string) store.Store { return platform.NewStore(address) }}
+	app.Flag("programs", "Directory of the built programs.").Default("bin").StringVar(&o.ProgramDir)
 	app.Flag("seed", "First seed.").Default("1").Uint64Var(&o.Seed)
 	seeds := app.Flag("seeds", "How many seeds, one after the other.").Default("1").Int()
 	app.Flag("duration", "Time of load and faults of each seed.").Default("15s").DurationVar(&o.Duration)
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -30,17 +30,17 @@
 
 // Options size the fleet.
 type Options struct {
-	Routers   int           // spread over the failure domains
-	Engines   int           // likewise
-	Slots     int           // of each engine
-	Token     time.Duration // between two tokens of an engine
-	FirstAt   int           // port of the first router's callers' listener; 0: any free ones
-	StoreAt   int           // port of the store; 0: a free one
-	Grace     time.Duration // of a planned stop; 0: graceDefault
-	Log       io.Writer     // events of all routers
-	ServeWith func(store.Store) http.Handler
-	// Open connects a router to the store at an address.
-	Open func(address string) store.Store
+	Routers         int           // spread over the failure domains
+	Engines         int           // likewise
+	Slots           int           // of each engine
+	TokenTime       time.Duration // between two tokens of an engine
+	FirstPort       int           // port of the first router's callers' listener; 0: any free ones
+	StorePort       int           // port of the store; 0: a free one
+	GracePeriod     time.Duration // of a planned stop; 0: graceDefault
+	Log             io.Writer     // events of all routers
+	NewStoreHandler func(store.Store) http.Handler
+	// OpenStore connects a router to the store at an address.
+	OpenStore func(address string) store.Store
 }
 
 // Names and sizes of the example.
@@ -60,12 +60,12 @@
 
 // Fleet is a running fleet.
 type Fleet struct {
-	Routers  []*node.Node
-	Engines  []*enginestub.Server
-	Service  *enginestub.Service
-	Store    *memstore.Store
-	StoreAt  string // address of the store's calls
-	Accounts []Account
+	Routers   []*node.Node
+	Engines   []*enginestub.Server
+	Service   *enginestub.Service
+	Store     *memstore.Store
+	StoreAddr string // address of the store's calls
+	Accounts  []Account
 
 	options   Options
 	addresses []string // of the engines, then of the service
@@ -113,12 +113,12 @@
 }
 
 func (f *Fleet) startStore() error {
-	listener, err := listen(f.options.StoreAt)
+	listener, err := listen(f.options.StorePort)
 	if err != nil {
 		return err
 	}
-	f.StoreAt = listener.Addr().String()
-	f.storeHTTP = &http.Server{Handler: f.options.ServeWith(f.Store), ReadHeaderTimeout: time.Second}
+	f.StoreAddr = listener.Addr().String()
+	f.storeHTTP = &http.Server{Handler: f.options.NewStoreHandler(f.Store), ReadHeaderTimeout: time.Second}
 	f.serving.Go(func() { _ = f.storeHTTP.Serve(listener) }) // ends with Stop
 	return nil
 }
@@ -126,7 +126,7 @@
 func (f *Fleet) startBackends() error {
 	for i := range f.options.Engines {
 		engine := enginestub.New(enginestub.Config{
-			ID: engineName(i), Models: []string{string(Model)}, Slots: f.options.Slots, TokenTime: f.options.Token,
+			ID: engineName(i), Models: []string{string(Model)}, Slots: f.options.Slots, TokenTime: f.options.TokenTime,
 		})
 		f.Engines = append(f.Engines, engine)
 		if err := f.serve(engine.Serve); err != nil {
@@ -221,7 +221,7 @@
 	}
 	settings := f.routerSettings(i)
 	log := event.New(f.options.Log, settings.VM, slog.LevelInfo, nil)
-	r := node.New(settings, native.Environment(f.options.Open(f.StoreAt), clock, log), log, uuid.NewString())
+	r := node.New(settings, native.Environment(f.options.OpenStore(f.StoreAddr), clock, log), log, uuid.NewString())
 	if err := r.Listen(); err != nil {
 		return err
 	}
@@ -238,12 +238,12 @@
 	any := exampleAddress + ":0"
 	s := &node.Settings{
 		VM: fmt.Sprintf("entry-%d", i+1), FailureDomain: string(domain(i)),
-		CallerAddr: any, ReadyAddr: any, DirectoryAddr: any, MetricsAddr: any, PeerAddr: any, StoreAddr: f.StoreAt,
-		DrainTime: 2 * time.Second, GracePeriod: f.options.Grace, EntryTTL: time.Second,
+		CallerAddr: any, ReadyAddr: any, DirectoryAddr: any, MetricsAddr: any, PeerAddr: any, StoreAddr: f.StoreAddr,
+		DrainTime: 2 * time.Second, GracePeriod: f.options.GracePeriod, EntryTTL: time.Second,
 		RetryRatio: 0.2, RetryExtra: 50, RetryWindow: 10 * time.Second,
 	}
-	if f.options.FirstAt > 0 {
-		s.CallerAddr = fmt.Sprintf("%s:%d", exampleAddress, f.options.FirstAt+i)
+	if f.options.FirstPort > 0 {
+		s.CallerAddr = fmt.Sprintf("%s:%d", exampleAddress, f.options.FirstPort+i)
 	}
 	if s.GracePeriod == 0 {
 		s.GracePeriod = graceDefault
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -24,9 +24,9 @@
 // fleet starts a small fleet whose routers reach the store over HTTP.
 func fleet(t *testing.T, change func(*Options)) *Fleet {
 	options := Options{
-		Routers: 2, Engines: 2, Slots: 8, Log: io.Discard, Grace: 2 * time.Second,
-		ServeWith: platform.StoreHandler,
-		Open:      func(address string) store.Store { return platform.NewStore(address) },
+		Routers: 2, Engines: 2, Slots: 8, Log: io.Discard, GracePeriod: 2 * time.Second,
+		NewStoreHandler: platform.StoreHandler,
+		OpenStore:       func(address string) store.Store { return platform.NewStore(address) },
 	}
 	if change != nil {
 		change(&options)
@@ -109,7 +109,7 @@
 	return answer.Error.Cause, answer.Error.Outcome
 }
 
-func TestAnswersAreWhole(t *testing.T) {
+func TestAnswersAreComplete(t *testing.T) {
 	c := qt.New(t)
 	f := fleet(t, nil)
 	body := chat(true, "streamed len=30", 40)
@@ -133,7 +133,7 @@
 }
 
 // Guards against refusals that leave open what was wrong or whether anything ran.
-func TestRefusalsSayWhy(t *testing.T) {
+func TestRefusalsReportCauseAndOutcome(t *testing.T) {
 	c := qt.New(t)
 	f := fleet(t, nil)
 	good := chat(true, "len=1", 1)
@@ -216,9 +216,9 @@
 }
 
 // Guards against a stream that ends with its engine, or goes on with another text.
-func TestStreamGoesOnAtAnotherEngine(t *testing.T) {
+func TestStreamResumesAtAnotherEngine(t *testing.T) {
 	c := qt.New(t)
-	f := fleet(t, func(o *Options) { o.Token = 2 * time.Millisecond })
+	f := fleet(t, func(o *Options) { o.TokenTime = 2 * time.Millisecond })
 	body := chat(true, "long len=300", 300)
 	done := make(chan reply, 1)
 	go func() { done <- f.call(0, chatPath, body) }()
@@ -263,7 +263,7 @@
 }
 
 // Guards against tokens lost or made up by planned stops.
-func TestBooksAreExactAfterPlannedStops(t *testing.T) {
+func TestBudgetsAreExactAfterGracefulShutdown(t *testing.T) {
 	c := qt.New(t)
 	f := fleet(t, nil)
 	const requests, output = 6, 10
--- a/internal/dev/guide.go
+++ b/internal/dev/guide.go
@@ -10,7 +10,7 @@
 	first := f.Routers[0].Settings().CallerAddr
 	account := f.Accounts[0]
 	fmt.Fprintf(w, "chicorytiller runs: %d routers, %d engines, 1 plain service, the store (%s), in this process.\n\n",
-		len(f.Routers), len(f.Engines), f.StoreAt)
+		len(f.Routers), len(f.Engines), f.StoreAddr)
 	for i, r := range f.Routers {
 		s := r.Settings()
 		fmt.Fprintf(w, "router %d (%s): callers http://%s  metrics http://%s/metrics\n", i+1, domain(i), s.CallerAddr, s.MetricsAddr)
@@ -32,5 +32,5 @@
   go run ./cmd/chicoryctl --store %[5]s budget list
 
 Stop with Ctrl-C.
-`, first, account.Key, Model, ServiceName, f.StoreAt)
+`, first, account.Key, Model, ServiceName, f.StoreAddr)
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -68,14 +68,14 @@
 }
 
 func (f *fleet) program(o Options, name, program string, args ...string) *process {
-	return &process{name: name, path: filepath.Join(o.Programs, program), args: args, log: logFile(f.dir, name)}
+	return &process{name: name, path: filepath.Join(o.ProgramDir, program), args: args, log: logFile(f.dir, name)}
 }
 
 func (f *fleet) startStore(o Options) error {
 	f.platform = f.program(o, "store", "chicory-platform")
 	line, err := f.platform.start(true)
 	f.storeAt = strings.TrimSpace(line)
-	f.store = o.Open(f.storeAt)
+	f.store = o.OpenStore(f.storeAt)
 	return err
 }
 
--- a/internal/soak/limits_test.go
+++ b/internal/soak/limits_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against a soak that keeps its promises because it counts nothing.
-func TestOverrunsAreFound(t *testing.T) {
+func TestLimitViolationsAreFound(t *testing.T) {
 	named := time.Now().Add(-time.Minute)
 	report := enginestub.ProcessActivity{RateLimits: []enginestub.RateLimitChange{{At: named, Limit: "1"}, {At: named.Add(20 * time.Second), Limit: ""}}}
 	routerOf := make(map[string]string)
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -16,7 +16,7 @@
 const starterEnv = "SOAK_TEST_STARTER"
 
 // Guards against routers that outlive a soak and join the fleet of a later one.
-func TestProgramsEndWithTheSoak(t *testing.T) {
+func TestProcessesEndWithSoak(t *testing.T) {
 	if os.Getenv(starterEnv) != "" {
 		p := &process{name: "sleeper", path: "/bin/sleep", args: []string{"60"}, log: t.TempDir() + "/log"}
 		_, err := p.start(false)
@@ -24,7 +24,7 @@
 		fmt.Println("started", p.cmd.Process.Pid)
 		select {} // until it is killed
 	}
-	starter := exec.Command(os.Args[0], "-test.run", "^TestProgramsEndWithTheSoak$")
+	starter := exec.Command(os.Args[0], "-test.run", "^TestProcessesEndWithSoak$")
 	starter.Env = append(os.Environ(), starterEnv+"=1")
 	out, err := starter.StdoutPipe()
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -24,14 +24,14 @@
 
 // Options of one run.
 type Options struct {
-	Programs string // directory of the built programs
-	Dir      string // for settings and logs; it must exist
-	Seed     uint64
-	Duration time.Duration // of load and faults
-	Rate     float64       // requests a second
-	// Open connects to the store at an address.
-	Open func(address string) store.Store
-	Out  io.Writer
+	ProgramDir string // directory of the built programs
+	Dir        string // for settings and logs; it must exist
+	Seed       uint64
+	Duration   time.Duration // of load and faults
+	Rate       float64       // requests a second
+	// OpenStore connects to the store at an address.
+	OpenStore func(address string) store.Store
+	Out       io.Writer
 }
 
 // Times of a run.
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -36,8 +36,8 @@
 	for _, test := range testSeeds {
 		var out bytes.Buffer
 		broken, err := Run(context.Background(), Options{
-			Programs: programs, Dir: t.TempDir(), Seed: test.seed, Duration: test.duration, Rate: 30, Out: &out,
-			Open: func(address string) store.Store { return platform.NewStore(address) },
+			ProgramDir: programs, Dir: t.TempDir(), Seed: test.seed, Duration: test.duration, Rate: 30, Out: &out,
+			OpenStore: func(address string) store.Store { return platform.NewStore(address) },
 		})
 		c.Assert(err, qt.IsNil)
 		c.Check(broken, qt.HasLen, 0, qt.Commentf("seed %d\n%s", test.seed, out.String()))
@@ -45,7 +45,7 @@
 }
 
 // The same seed gives the same faults; another gives others.
-func TestScheduleFollowsTheSeed(t *testing.T) {
+func TestScheduleIsDeterminedBySeed(t *testing.T) {
 	names := func(seed uint64) []string {
 		f := &fleet{engines: []*process{{name: "e1"}, {name: "e2"}}, proxies: []*proxy{{}, {}}}
 		for _, name := range []string{"r1", "r2", "r3"} {
