--- a/internal/enginestub/enginestub_test.go
+++ b/internal/enginestub/enginestub_test.go
@@ -16,16 +16,16 @@
 	"pgregory.net/rapid"
 )
 
-var start = time.Unix(1e9, 0)
+var startTime = time.Unix(1e9, 0)
 
-func fixedClock() time.Time { return start }
+func fixedClock() time.Time { return startTime }
 
-// idleScheduler is a scheduler whose loop doesn't run: the test steps it.
-func idleScheduler(cfg Config) *scheduler {
+// newSteppedScheduler returns a scheduler without a running loop. The test calls step itself.
+func newSteppedScheduler(cfg Config) *scheduler {
 	return newScheduler(cfg.withDefaults(), fixedClock, &activityLogger{}, func() {})
 }
 
-func userRequest(content string, maxTokens, priority int) *request {
+func newUserRequest(content string, maxTokens, priority int) *request {
 	body := fmt.Appendf(nil, `{"model":"m","messages":[{"role":"user","content":%q}],"max_tokens":%d,"priority":%d}`,
 		content, maxTokens, priority)
 	req, err := parseRequest(body)
@@ -35,138 +35,138 @@
 	return req
 }
 
-func submit(c *qt.C, e *scheduler, attempt string, req *request) *sequence {
-	s, err := e.submit("r-"+attempt, attempt, req)
+func mustSubmit(c *qt.C, s *scheduler, attemptID string, req *request) *sequence {
+	seq, err := s.submit("r-"+attemptID, attemptID, req)
 	c.Assert(err, qt.IsNil)
-	return s
+	return seq
 }
 
-func TestAnswerFollowsFromModelAndMessages(t *testing.T) {
+func TestAnswerDependsOnModelAndMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		content := rapid.String().Draw(t, "content")
 		message := string(mustMarshal(map[string]string{"role": "user", "content": content}))
-		whole, _ := Answer("m", []byte(`{"messages":[`+message+`]}`), 0)
+		full, _ := Answer("m", []byte(`{"messages":[`+message+`]}`), 0)
 		limit := rapid.IntRange(1, 300).Draw(t, "limit")
-		other := `{"user":"u","max_tokens":5,"stream":true,"model":"other","messages":[` + message + `]}`
-		cut, finish := Answer("m", []byte(other), limit)
-		if strings.Join(cut, "|") != strings.Join(whole[:min(limit, len(whole))], "|") {
-			t.Fatalf("%q is no prefix of %q", cut, whole)
+		body := `{"user":"u","max_tokens":5,"stream":true,"model":"other","messages":[` + message + `]}`
+		truncated, finish := Answer("m", []byte(body), limit)
+		if strings.Join(truncated, "|") != strings.Join(full[:min(limit, len(full))], "|") {
+			t.Fatalf("%q is no prefix of %q", truncated, full)
 		}
-		if (finish == FinishLength) != (limit < len(whole)) {
-			t.Fatalf("%s with %d tokens of %d", finish, limit, len(whole))
+		if (finish == FinishLength) != (limit < len(full)) {
+			t.Fatalf("%s with %d tokens of %d", finish, limit, len(full))
 		}
 	})
 	c := qt.New(t)
 	body := []byte(`{"messages":[{"role":"user","content":[{"type":"text","text":"len=40 please"}]}]}`)
 	tokens, _ := Answer("m", body, 0)
 	c.Assert(tokens, qt.HasLen, 40)
-	others, _ := Answer("n", body, 0)
-	c.Assert(others, qt.Not(qt.DeepEquals), tokens)
+	otherTokens, _ := Answer("n", body, 0)
+	c.Assert(otherTokens, qt.Not(qt.DeepEquals), tokens)
 }
 
-func TestSlotsGoByPriorityThenArrival(t *testing.T) {
+func TestStartOrderIsPriorityThenArrival(t *testing.T) {
 	c := qt.New(t)
-	e := idleScheduler(Config{Slots: 1})
+	s := newSteppedScheduler(Config{Slots: 1})
 	for i, priority := range []int{0, 5, 9, 5, 0} {
-		submit(c, e, fmt.Sprint(i), userRequest("len=1", 0, priority))
+		mustSubmit(c, s, fmt.Sprint(i), newUserRequest("len=1", 0, priority))
 	}
-	e.cancel("4")
-	for !e.idle() {
-		e.step(start)
+	s.cancel("4")
+	for !s.idle() {
+		s.step(startTime)
 	}
 	starts := map[string]int{}
-	for _, run := range e.runReport().Runs {
+	for _, run := range s.runReport().Runs {
 		starts[run.Attempts[0].Attempt] = run.Attempts[0].Start
 	}
 	c.Assert(starts, qt.DeepEquals, map[string]int{"2": 1, "1": 2, "3": 3, "0": 4, "4": 0})
-	c.Assert(e.outstandingTokens, qt.Equals, 0)
+	c.Assert(s.outstandingTokens, qt.Equals, 0)
 }
 
-func TestTokensBecomeDue(t *testing.T) {
+func TestTokenTiming(t *testing.T) {
 	c := qt.New(t)
-	e := idleScheduler(Config{TokenTime: 10 * time.Millisecond, PromptTokenTime: time.Millisecond, CacheTokens: 1024})
+	s := newSteppedScheduler(Config{TokenTime: 10 * time.Millisecond, PromptTokenTime: time.Millisecond, CacheTokens: 1024})
 	prompt := strings.Repeat("x", 400) + "len=50"
-	first := submit(c, e, "1", userRequest(prompt, 0, 0))
-	e.step(start)
+	first := mustSubmit(c, s, "1", newUserRequest(prompt, 0, 0))
+	s.step(startTime)
 	c.Assert(first.run.Tokens, qt.Equals, 0, qt.Commentf("the prompt of 102 tokens takes 102 ms"))
-	second := submit(c, e, "2", userRequest(prompt, 0, 0))
-	wait, idle := e.step(start)
+	second := mustSubmit(c, s, "2", newUserRequest(prompt, 0, 0))
+	wait, idle := s.step(startTime)
 	c.Assert(idle, qt.IsFalse)
-	c.Assert(second.run.CachedTokens, qt.Equals, 96, qt.Commentf("whole blocks"))
+	c.Assert(second.run.CachedTokens, qt.Equals, 96, qt.Commentf("only full blocks are cached"))
 	c.Assert(wait, qt.Equals, 6*time.Millisecond)
-	e.step(start.Add(102 * time.Millisecond))
+	s.step(startTime.Add(102 * time.Millisecond))
 	c.Assert(first.run.Tokens, qt.Equals, 1)
 	c.Assert(second.run.Tokens, qt.Equals, 10)
-	e.step(start.Add(time.Second))
+	s.step(startTime.Add(time.Second))
 	c.Assert(first.run.State, qt.Equals, RunFinished)
-	submit(c, e, "4", userRequest("len=900", 0, 0))
-	e.step(start)
-	e.cancel("4")
-	c.Assert(e.outstandingTokens, qt.Equals, 0)
+	mustSubmit(c, s, "4", newUserRequest("len=900", 0, 0))
+	s.step(startTime)
+	s.cancel("4")
+	c.Assert(s.outstandingTokens, qt.Equals, 0)
 }
 
-func TestRefusals(t *testing.T) {
+func TestSubmitErrors(t *testing.T) {
 	c := qt.New(t)
-	e := idleScheduler(Config{Models: []string{"m"}, MaxWaiting: 1})
-	unknown := userRequest("x", 0, 0)
-	unknown.model = "other"
-	_, err := e.submit("r", "0", unknown)
+	s := newSteppedScheduler(Config{Models: []string{"m"}, MaxWaiting: 1})
+	otherModel := newUserRequest("x", 0, 0)
+	otherModel.model = "other"
+	_, err := s.submit("r", "0", otherModel)
 	c.Assert(err, qt.ErrorIs, ErrModelNotLoaded)
-	submit(c, e, "1", userRequest("x", 0, 0))
-	_, err = e.submit("r", "1", userRequest("x", 0, 0))
+	mustSubmit(c, s, "1", newUserRequest("x", 0, 0))
+	_, err = s.submit("r", "1", newUserRequest("x", 0, 0))
 	c.Assert(err, qt.ErrorIs, ErrDuplicateAttempt)
-	_, err = e.submit("r", "2", userRequest("x", 0, 0))
+	_, err = s.submit("r", "2", newUserRequest("x", 0, 0))
 	c.Assert(err, qt.ErrorIs, ErrQueueFull)
-	e.setDraining()
-	_, err = e.submit("r", "3", userRequest("x", 0, 0))
+	s.setDraining()
+	_, err = s.submit("r", "3", newUserRequest("x", 0, 0))
 	c.Assert(err, qt.ErrorIs, ErrUnavailable)
-	c.Assert(e.runReport().Totals.Attempts, qt.Equals, 1)
-	c.Assert(e.load(), qt.Equals, "0,1,64")
+	c.Assert(s.runReport().Totals.Attempts, qt.Equals, 1)
+	c.Assert(s.load(), qt.Equals, "0,1,64")
 }
 
-// Guards against a stand-in that crashes after its caller has a whole answer.
-func TestCrashPoint(t *testing.T) {
+// Guards against an engine that crashes only after its caller has the complete answer.
+func TestCrashAfterTokens(t *testing.T) {
 	for content, want := range map[string]int{"BOOM len=50": 10, "BOOM len=5": 4} {
 		t.Run(content, func(t *testing.T) {
 			c := qt.New(t)
 			crashes := 0
 			cfg := Config{CrashMarker: "BOOM", CrashAfterTokens: 10}
-			e := newScheduler(cfg.withDefaults(), fixedClock, &activityLogger{}, func() { crashes++ })
-			marked := submit(c, e, "1", userRequest(content, 0, 0))
-			other := submit(c, e, "2", userRequest("len=90", 0, 0))
+			s := newScheduler(cfg.withDefaults(), fixedClock, &activityLogger{}, func() { crashes++ })
+			marked := mustSubmit(c, s, "1", newUserRequest(content, 0, 0))
+			other := mustSubmit(c, s, "2", newUserRequest("len=90", 0, 0))
 			for range 5 {
-				e.step(start)
+				s.step(startTime)
 			}
 			c.Assert(crashes, qt.Equals, 1)
 			c.Assert(marked.run.Tokens, qt.Equals, want)
 			generated, ended := other.progress.wait(other.run.Tokens)
 			c.Assert(generated < 90 && ended, qt.IsTrue)
-			_, err := e.submit("r", "3", userRequest("x", 0, 0))
+			_, err := s.submit("r", "3", newUserRequest("x", 0, 0))
 			c.Assert(err, qt.ErrorIs, ErrUnavailable)
 		})
 	}
 }
 
-// Guards against a stand-in whose cache keeps other blocks than the most recently used.
-func TestPrefixCacheKeepsTheLatest(t *testing.T) {
+// Guards against a prefix cache that keeps other blocks than the most recently used ones.
+func TestPrefixCacheIsLRU(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(0, 6).Draw(t, "capacity")
 		cache := newPrefixCache(capacity * blockTokens)
-		var recent []uint64 // the latest used in front
+		var recent []uint64 // expected content, most recently used first
 		for range rapid.IntRange(1, 20).Draw(t, "uses") {
 			base := rapid.Uint64Range(0, 3).Draw(t, "base") * 100
 			hashes := make([]uint64, rapid.IntRange(0, 8).Draw(t, "blocks"))
 			for i := range hashes {
 				hashes[i] = base + uint64(i)
 			}
-			want := 0
-			for want < len(hashes) && contains(recent, hashes[want]) {
-				want++
+			wantHits := 0
+			for wantHits < len(hashes) && contains(recent, hashes[wantHits]) {
+				wantHits++
 			}
-			if got := cache.use(hashes); got != want {
-				t.Fatalf("%d hits, want %d", got, want)
+			if got := cache.use(hashes); got != wantHits {
+				t.Fatalf("%d hits, want %d", got, wantHits)
 			}
-			recent = useInOrder(recent, hashes, capacity)
+			recent = useLRU(recent, hashes, capacity)
 		}
 	})
 }
@@ -180,7 +180,9 @@
 	return false
 }
 
-func useInOrder(recent, hashes []uint64, capacity int) []uint64 {
+// useLRU returns the content of an LRU cache after the use of hashes. It is a simple reference
+// implementation of prefixCache.use.
+func useLRU(recent, hashes []uint64, capacity int) []uint64 {
 	kept := append([]uint64{}, hashes[:min(len(hashes), capacity)]...)
 	for _, hash := range recent {
 		if !contains(kept, hash) {
@@ -192,29 +194,29 @@
 
 func TestChunksAreJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := idleScheduler(Config{})
-		req := userRequest(rapid.String().Draw(t, "content"), 0, 0)
+		s := newSteppedScheduler(Config{})
+		req := newUserRequest(rapid.String().Draw(t, "content"), 0, 0)
 		req.model = rapid.String().Draw(t, "model")
 		req.includeUsage = true
-		s, err := e.submit(rapid.String().Draw(t, "request"), "1", req)
+		seq, err := s.submit(rapid.String().Draw(t, "request"), "1", req)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for !e.idle() {
-			e.step(start)
+		for !s.idle() {
+			s.step(startTime)
 		}
-		reader := newEventReader(s, 0, rapid.IntRange(1, 5).Draw(t, "chunk tokens"))
+		reader := newEventReader(seq, 0, rapid.IntRange(1, 5).Draw(t, "chunk tokens"))
 		body, err := io.ReadAll(reader)
 		if err != nil {
 			t.Fatal(err)
 		}
 		events := strings.Split(strings.TrimSuffix(string(body), "\n\n"), "\n\n")
-		text, last := "", chunkFields{}
+		text, last := "", chunk{}
 		for _, event := range events[:len(events)-1] {
-			last = chunkFields{}
+			last = chunk{}
 			_, data, _ := strings.Cut(event, "data: ")
 			err = json.Unmarshal([]byte(data), &last)
-			if err != nil || last.ID != s.requestID || last.Model != strings.ToValidUTF8(req.model, "\ufffd") {
+			if err != nil || last.ID != seq.requestID || last.Model != strings.ToValidUTF8(req.model, "\ufffd") {
 				t.Fatalf("%s: %v", event, err)
 			}
 			for _, choice := range last.Choices {
@@ -228,15 +230,15 @@
 	})
 }
 
-type chunkFields struct {
+type chunk struct {
 	ID      string
 	Model   string
 	Choices []struct{ Delta struct{ Content string } }
 	Usage   usage
 }
 
-// BenchmarkStreams reads 64 streams at once over the loopback; an operation is
-// one token.
+// BenchmarkStreams reads 64 concurrent streams over the loopback interface. One operation is one
+// token.
 func BenchmarkStreams(b *testing.B) {
 	const streams = 64
 	c := qt.New(b)
--- a/internal/enginestub/evidence.go
+++ b/internal/enginestub/evidence.go
@@ -86,14 +86,14 @@
 
 // add adds a record to the newest process.
 func (l *ActivityLog) add(record activityRecord) {
-	report := &l.Processes[len(l.Processes)-1]
+	process := &l.Processes[len(l.Processes)-1]
 	switch record.Kind {
 	case rateLimitChanged:
-		report.RateLimits = append(report.RateLimits, RateLimitChange{At: record.At, Limit: record.Limit})
+		process.RateLimits = append(process.RateLimits, RateLimitChange{At: record.At, Limit: record.Limit})
 	case requestArrived:
-		report.Arrivals = append(report.Arrivals, Arrival{Request: record.Request, At: record.At, Limit: record.Limit})
+		process.Arrivals = append(process.Arrivals, Arrival{Request: record.Request, At: record.At, Limit: record.Limit})
 	case requestAnswered:
-		report.markAnswered(record.Request, record.At)
+		process.markAnswered(record.Request, record.At)
 	case runStarted:
 		l.Runs[record.Request]++
 	}
