--- a/internal/enginestub/enginehandlers.go
+++ b/internal/enginestub/enginehandlers.go
@@ -45,7 +45,7 @@
 	}
 	c.Set(native.HeaderLoad, s.scheduler.load())
 	if !req.stream {
-		return s.sendWhole(c, seq)
+		return s.sendJSON(c, seq)
 	}
 	return s.sendStream(c, seq, lastEventID(c))
 }
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// sendWhole sends a non-streamed response when all tokens are generated.
-func (s *Server) sendWhole(c *fiber.Ctx, seq *sequence) error {
+// sendJSON sends a non-streamed response when all tokens are generated.
+func (s *Server) sendJSON(c *fiber.Ctx, seq *sequence) error {
 	defer s.scheduler.cancel(seq.attemptID)
 	for sent, ended := 0, false; sent < len(seq.answer); {
 		if sent, ended = seq.progress.wait(sent); ended && sent < len(seq.answer) {
--- a/internal/enginestub/evidence.go
+++ b/internal/enginestub/evidence.go
@@ -46,8 +46,8 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// Write errors can be ignored: the check of the log reports an answered request without
-	// an arrival.
+	// Write errors are ignored: a lost record is visible to the log's reader as an answered
+	// request without an arrival.
 	_, _ = l.w.Write(append(data, '\n'))
 }
 
