--- a/cmd/chicory-load/run.go
+++ b/cmd/chicory-load/run.go
@@ -98,25 +98,25 @@
 }
 
 func newRouterCaller(o *options, client *load.Client) *load.Caller {
-	var directories []*load.Directory
+	var caches []*load.AddressCache
 	for account := range o.keys {
-		directories = append(directories, load.NewDirectory(o.routers, client.FetchEntry(account), time.Now))
+		caches = append(caches, load.NewAddressCache(o.routers, client.EntryFetcher(account), time.Now))
 	}
-	return load.NewCaller(client, directories, retryPolicy(o), nil)
+	return load.NewCaller(client, caches, retryPolicy(o), nil)
 }
 
-// newDirectCaller returns a caller that bypasses the routers: its directories always
+// newDirectCaller returns a caller that bypasses the routers: its caches always
 // return the address of one engine.
 func newDirectCaller(o *options, client *load.Client) *load.Caller {
-	fetch := func(string) (load.EntryAnswer, error) {
-		return load.EntryAnswer{Addresses: []string{o.direct}, TTL: time.Hour}, nil
+	fetch := func(string) (load.EntryResponse, error) {
+		return load.EntryResponse{Addresses: []string{o.direct}, TTL: time.Hour}, nil
 	}
-	directory := load.NewDirectory([]string{o.direct}, fetch, time.Now)
-	directories := make([]*load.Directory, len(o.keys))
-	for i := range directories {
-		directories[i] = directory
+	cache := load.NewAddressCache([]string{o.direct}, fetch, time.Now)
+	caches := make([]*load.AddressCache, len(o.keys))
+	for i := range caches {
+		caches[i] = cache
 	}
-	return load.NewCaller(client, directories, retryPolicy(o), nil)
+	return load.NewCaller(client, caches, retryPolicy(o), nil)
 }
 
 // newSources returns the sources against which answers are checked. It records the runs
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -10,6 +10,7 @@
 // Status is the final outcome of a logical request as its caller sees it.
 type Status string
 
+// Outcomes of a logical request.
 const (
 	StatusOK        Status = "ok"
 	StatusRefused   Status = "refused"   // the last try got an error response
@@ -48,20 +49,20 @@
 }
 
 // Caller sends logical requests as a client application does: it tries the addresses
-// of the entry answer one after the other, with the same idempotency key.
+// of the entry response one after the other, with the same idempotency key.
 type Caller struct {
-	client      *Client
-	directories []*Directory // by account index
-	policy      RetryPolicy
-	wait        func(ctx context.Context, d time.Duration) error
+	client *Client
+	caches []*AddressCache // by account index
+	policy RetryPolicy
+	wait   func(ctx context.Context, d time.Duration) error
 }
 
 // NewCaller returns a Caller. wait delays a retry; nil means to sleep.
-func NewCaller(client *Client, directories []*Directory, policy RetryPolicy, wait func(context.Context, time.Duration) error) *Caller {
+func NewCaller(client *Client, caches []*AddressCache, policy RetryPolicy, wait func(context.Context, time.Duration) error) *Caller {
 	if wait == nil {
 		wait = sleep
 	}
-	return &Caller{client: client, directories: directories, policy: policy, wait: wait}
+	return &Caller{client: client, caches: caches, policy: policy, wait: wait}
 }
 
 // Call sends a logical request and retries it as the policy allows.
@@ -69,7 +70,7 @@
 	start := time.Now()
 	deadline := start.Add(c.policy.Deadline)
 	result := Result{Request: req}
-	picker := addressPicker{directory: c.directories[req.Account]}
+	picker := addressPicker{cache: c.caches[req.Account]}
 	if c.policy.Rotate {
 		picker.offset = req.Index
 	}
@@ -101,7 +102,7 @@
 	}
 	err = c.client.try(address, req, deadline, out)
 	if isUnavailable(err) {
-		picker.directory.MarkFailed(address)
+		picker.cache.MarkFailed(address)
 	}
 	return err
 }
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -52,12 +52,12 @@
 	return fasthttp.DialTimeout(address, dialTimeout)
 }
 
-// FetchEntry returns a function that requests the entry answer with an account's key.
-func (c *Client) FetchEntry(accountIndex int) FetchEntry {
-	return func(address string) (EntryAnswer, error) {
+// EntryFetcher returns a function that requests the entry response with an account's key.
+func (c *Client) EntryFetcher(accountIndex int) FetchEntryFunc {
+	return func(address string) (EntryResponse, error) {
 		body, err := c.get("http://"+address+"/v1/entry", c.keys[accountIndex])
 		if err != nil {
-			return EntryAnswer{}, err
+			return EntryResponse{}, err
 		}
 		return parseEntry(body)
 	}
@@ -145,8 +145,8 @@
 func (c *Client) readStream(body io.Reader, req *Request, out *tryResult) error {
 	reader := c.streams.Get().(*streamReader)
 	defer c.streams.Put(reader)
-	check := answerChecker{want: req.Want}
-	if err := reader.read(body, &check, out); err != nil {
+	checker := answerChecker{want: req.Want}
+	if err := reader.read(body, &checker, out); err != nil {
 		return err
 	}
 	return out.checkUsage(req.Want)
--- a/internal/load/entry.go
+++ b/internal/load/entry.go
@@ -9,99 +9,101 @@
 	"github.com/valyala/fastjson"
 )
 
-// EntryAnswer is a router's answer to GET /v1/entry: the routers to send requests to.
-type EntryAnswer struct {
+// EntryResponse is a router's response to GET /v1/entry: the addresses of the routers to
+// send requests to.
+type EntryResponse struct {
 	Addresses []string // "IP:port", in order of preference
 	TTL       time.Duration
 }
 
-// FetchEntry requests the entry answer from a router.
-type FetchEntry func(router string) (EntryAnswer, error)
+// FetchEntryFunc requests the entry response from a router.
+type FetchEntryFunc func(router string) (EntryResponse, error)
 
-// Directory caches the entry answer of one client account for its TTL. It is safe for concurrent use.
-type Directory struct {
+// AddressCache caches the entry response of one client account for its TTL. It is safe
+// for concurrent use.
+type AddressCache struct {
 	routers []string
-	fetch   FetchEntry
+	fetch   FetchEntryFunc
 	now     func() time.Time
 
 	mu         sync.Mutex
 	nextRouter int // index of the next router to ask; counts up
 	addresses  []string
-	failed     map[string]bool // those of addresses that failed since the answer arrived
+	failed     map[string]bool // those of addresses that failed since the response arrived
 	expires    time.Time
 }
 
-// NewDirectory returns a Directory that asks the given routers in turn.
-func NewDirectory(routers []string, fetch FetchEntry, now func() time.Time) *Directory {
-	return &Directory{routers: routers, fetch: fetch, now: now}
+// NewAddressCache returns an AddressCache that asks the given routers in turn.
+func NewAddressCache(routers []string, fetch FetchEntryFunc, now func() time.Time) *AddressCache {
+	return &AddressCache{routers: routers, fetch: fetch, now: now}
 }
 
 // Addresses returns the addresses to connect to. It asks a router only if there is no
-// cached answer or its TTL has expired. If no router answers, it returns the expired
+// cached response or its TTL has expired. If no router responds, it returns the expired
 // addresses, which may still work.
-func (d *Directory) Addresses() ([]string, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.addresses) > 0 && d.now().Before(d.expires) {
-		return d.addresses, nil
+func (c *AddressCache) Addresses() ([]string, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.addresses) > 0 && c.now().Before(c.expires) {
+		return c.addresses, nil
 	}
 	var lastErr error
-	for range d.routers {
-		router := d.routers[d.nextRouter%len(d.routers)]
-		d.nextRouter++
-		answer, err := d.fetch(router)
+	for range c.routers {
+		router := c.routers[c.nextRouter%len(c.routers)]
+		c.nextRouter++
+		response, err := c.fetch(router)
 		if err != nil {
 			lastErr = err
 			continue
 		}
-		d.addresses = answer.Addresses
-		d.failed = map[string]bool{}
-		d.expires = d.now().Add(answer.TTL)
-		return d.addresses, nil
+		c.addresses = response.Addresses
+		c.failed = map[string]bool{}
+		c.expires = c.now().Add(response.TTL)
+		return c.addresses, nil
 	}
-	if len(d.addresses) > 0 {
-		return d.addresses, nil
+	if len(c.addresses) > 0 {
+		return c.addresses, nil
 	}
-	return nil, errors.Wrap(lastErr, "load: no router returned an entry answer")
+	return nil, errors.Wrap(lastErr, "load: no router returned an entry response")
 }
 
 // MarkFailed records that an address does not serve requests and moves it to the end
-// of the list. Once every address has failed, the cached answer expires, since all of
+// of the list. Once every address has failed, the cached response expires, since all of
 // its routers may have been replaced.
-func (d *Directory) MarkFailed(address string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	index := slices.Index(d.addresses, address)
+func (c *AddressCache) MarkFailed(address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	index := slices.Index(c.addresses, address)
 	if index < 0 {
 		return
 	}
 	// Clone, since callers may still use the old slice.
-	d.addresses = append(slices.Delete(slices.Clone(d.addresses), index, index+1), address)
-	d.failed[address] = true
-	if len(d.failed) == len(d.addresses) {
-		d.expires = time.Time{}
+	c.addresses = append(slices.Delete(slices.Clone(c.addresses), index, index+1), address)
+	c.failed[address] = true
+	if len(c.failed) == len(c.addresses) {
+		c.expires = time.Time{}
 	}
 }
 
 // parseEntry parses {"addresses": [...], "ttl_ms": N}. An address is a string or
 // an object with the field "address".
-func parseEntry(body []byte) (EntryAnswer, error) {
+func parseEntry(body []byte) (EntryResponse, error) {
 	document, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return EntryAnswer{}, errors.Wrap(ErrInvalidEntry, err.Error())
+		return EntryResponse{}, errors.Wrap(ErrInvalidEntry, err.Error())
 	}
-	answer := EntryAnswer{TTL: time.Duration(document.GetInt64("ttl_ms")) * time.Millisecond}
+	response := EntryResponse{TTL: time.Duration(document.GetInt64("ttl_ms")) * time.Millisecond}
 	for _, element := range document.GetArray("addresses") {
 		address := element.GetStringBytes()
 		if element.Type() == fastjson.TypeObject {
 			address = element.GetStringBytes("address")
 		}
 		if len(address) > 0 {
-			answer.Addresses = append(answer.Addresses, string(address))
+			response.Addresses = append(response.Addresses, string(address))
 		}
 	}
-	if len(answer.Addresses) == 0 {
-		return EntryAnswer{}, errors.Wrap(ErrInvalidEntry, "no addresses")
+	if len(response.Addresses) == 0 {
+		return EntryResponse{}, errors.Wrap(ErrInvalidEntry, "no addresses")
 	}
-	return answer, nil
+	return response, nil
 }
--- a/internal/load/errors.go
+++ b/internal/load/errors.go
@@ -13,14 +13,14 @@
 	// deadline passed, or the connection closed before the response header.
 	ErrNoResponse = errors.New("load: no response")
 	// ErrInterrupted means that a response ended before it was complete: before
-	// [DONE] if it is a stream, otherwise within the body.
+	// [DONE] in a stream, otherwise within the body.
 	ErrInterrupted = errors.New("load: answer interrupted")
 	// ErrMismatch means that an answer is not the one expected for the request.
 	ErrMismatch = errors.New("load: answer differs from the expected one")
 	// ErrTruncated means that an answer is well-formed, but shorter than expected.
 	ErrTruncated = errors.New("load: answer truncated")
-	// ErrInvalidEntry means that an entry answer is malformed or lists no address.
-	ErrInvalidEntry = errors.New("load: invalid entry answer")
+	// ErrInvalidEntry means that an entry response is malformed or lists no address.
+	ErrInvalidEntry = errors.New("load: invalid entry response")
 	// ErrLineTooLong means that a line of a stream is longer than maxLineBytes.
 	ErrLineTooLong = errors.New("load: stream line too long")
 	// ErrInvalidConfig means that a workload, a pace or the number of targets is not valid.
--- a/internal/load/evidence.go
+++ b/internal/load/evidence.go
@@ -41,8 +41,8 @@
 	return evidence, err
 }
 
-// engineRuns is the response of a simulated engine to GET /v1/runs.
-type engineRuns struct {
+// engineRunsResponse is the response of a simulated engine to GET /v1/runs.
+type engineRunsResponse struct {
 	Runs []struct {
 		Request  string `json:"request"`
 		Attempts []struct {
@@ -59,11 +59,11 @@
 	}
 	counts := map[string]int{}
 	for _, address := range addresses {
-		var answer engineRuns
-		if err := c.getJSON("http://"+address+"/v1/runs", "", &answer); err != nil {
+		var response engineRunsResponse
+		if err := c.getJSON("http://"+address+"/v1/runs", "", &response); err != nil {
 			return nil, err
 		}
-		for _, run := range answer.Runs {
+		for _, run := range response.Runs {
 			for _, attempt := range run.Attempts {
 				if attempt.Start > 0 {
 					counts[run.Request]++
@@ -74,8 +74,8 @@
 	return counts, nil
 }
 
-// serviceRuns is the response of a simulated service to GET /runs.
-type serviceRuns struct {
+// serviceRunsResponse is the response of a simulated service to GET /runs.
+type serviceRunsResponse struct {
 	ByBody []struct {
 		ID    string `json:"id"`
 		Count int    `json:"count"`
@@ -90,12 +90,12 @@
 	}
 	counts := map[string]int{}
 	for _, address := range addresses {
-		var answer serviceRuns
-		if err := c.getJSON("http://"+address+"/runs", "", &answer); err != nil {
+		var response serviceRunsResponse
+		if err := c.getJSON("http://"+address+"/runs", "", &response); err != nil {
 			return nil, err
 		}
-		for _, confirmation := range answer.ByBody {
-			counts[confirmation.ID] += confirmation.Count
+		for _, run := range response.ByBody {
+			counts[run.ID] += run.Count
 		}
 	}
 	return counts, nil
--- a/internal/load/fixture_test.go
+++ b/internal/load/fixture_test.go
@@ -110,14 +110,14 @@
 // testCaller returns a Caller for the addresses that records delays instead of sleeping.
 func testCaller(waits *[]time.Duration, addresses ...string) *Caller {
 	client := NewClient([]string{"key"})
-	fetch := func(string) (EntryAnswer, error) {
-		return EntryAnswer{Addresses: addresses, TTL: time.Hour}, nil
+	fetch := func(string) (EntryResponse, error) {
+		return EntryResponse{Addresses: addresses, TTL: time.Hour}, nil
 	}
-	directory := NewDirectory([]string{"any"}, fetch, time.Now)
+	cache := NewAddressCache([]string{"any"}, fetch, time.Now)
 	policy := RetryPolicy{Deadline: time.Minute, MaxTries: 5, MaxRetryAfter: 5 * time.Second, Backoff: time.Millisecond}
 	wait := func(_ context.Context, d time.Duration) error {
 		*waits = append(*waits, d)
 		return nil
 	}
-	return NewCaller(client, []*Directory{directory}, policy, wait)
+	return NewCaller(client, []*AddressCache{cache}, policy, wait)
 }
--- a/internal/load/sse_test.go
+++ b/internal/load/sse_test.go
@@ -40,18 +40,18 @@
 
 // FuzzStream checks that no stream is accepted unless it holds exactly the expected text.
 func FuzzStream(f *testing.F) {
-	whole := encodeEvents(completeEvents())
-	f.Add([]byte(whole))
-	f.Add([]byte(whole[:len(whole)/2]))
+	complete := encodeEvents(completeEvents())
+	f.Add([]byte(complete))
+	f.Add([]byte(complete[:len(complete)/2]))
 	f.Add([]byte("data: {\"error\":{\"cause\":\"internal\"}}\n\n"))
 	f.Add([]byte("data: {\"choices\":[{\"delta\":7}],\"usage\":[]}\ndata: [DONE]\n"))
 	f.Fuzz(func(t *testing.T, stream []byte) {
 		reader := &streamReader{events: newEventReader()}
-		check := answerChecker{want: testExpected()}
+		checker := answerChecker{want: testExpected()}
 		var out tryResult
-		err := reader.read(bytes.NewReader(stream), &check, &out)
-		if err == nil && (check.offset != len(check.want.Text) || out.finishReason != "stop") {
-			t.Fatalf("a stream passed at byte %d with finish reason %q", check.offset, out.finishReason)
+		err := reader.read(bytes.NewReader(stream), &checker, &out)
+		if err == nil && (checker.offset != len(checker.want.Text) || out.finishReason != "stop") {
+			t.Fatalf("a stream passed at byte %d with finish reason %q", checker.offset, out.finishReason)
 		}
 	})
 }
@@ -69,9 +69,9 @@
 	reader := &streamReader{events: newEventReader()}
 	b.ReportAllocs()
 	for b.Loop() {
-		check := answerChecker{want: want}
+		checker := answerChecker{want: want}
 		var out tryResult
-		if err := reader.read(bytes.NewReader(stream), &check, &out); err != nil {
+		if err := reader.read(bytes.NewReader(stream), &checker, &out); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/load/turns.go
+++ b/internal/load/turns.go
@@ -5,14 +5,14 @@
 // addressPicker chooses the address of each try of a request: the first in order of
 // preference that has not been tried. Once all have been tried, it starts over.
 type addressPicker struct {
-	directory *Directory
+	cache     *AddressCache
 	offset    int // index of the address to start at
 	tried     []string
 	remaining bool // whether an address is untried
 }
 
 func (p *addressPicker) next() (string, error) {
-	addresses, err := p.directory.Addresses()
+	addresses, err := p.cache.Addresses()
 	if err != nil {
 		return "", err
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -130,11 +130,11 @@
 	for _, r := range f.routers {
 		addresses = append(addresses, r.callers)
 	}
-	directories := make([]*load.Directory, 0, accounts)
+	caches := make([]*load.AddressCache, 0, accounts)
 	for account := range accounts {
-		directories = append(directories, load.NewDirectory(addresses, client.FetchEntry(account), time.Now))
+		caches = append(caches, load.NewAddressCache(addresses, client.EntryFetcher(account), time.Now))
 	}
-	return load.NewRunner(workload, pace, load.Target{Name: "routers", Caller: load.NewCaller(client, directories, callers, nil)})
+	return load.NewRunner(workload, pace, load.Target{Name: "routers", Caller: load.NewCaller(client, caches, callers, nil)})
 }
 
 // settle waits until all is well, and sends requests that must all be served.
