--- a/internal/load/caller_test.go
+++ b/internal/load/caller_test.go
@@ -92,7 +92,8 @@
 	caller := testCaller(&waits, unresponsive.Addr().String(), router.address)
 	caller.policy.TryTimeout = 300 * time.Millisecond
 	result := caller.Call(context.Background(), testRequest(t, true))
-	// No exact number of tries: under -race the responsive router may time out too.
+	// The responsive router may time out too under -race, so the number of tries varies.
+	// What matters is that the unresponsive one did not hold up the request.
 	c.Assert(result.Status, qt.Equals, StatusOK, qt.Commentf("%v", result.Err))
 	c.Assert(result.Tries > 1, qt.IsTrue)
 	c.Assert(router.keys[0], qt.Equals, "run-0")
--- a/internal/load/entry_test.go
+++ b/internal/load/entry_test.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-func TestEntryAnswerIsCachedForItsTTL(t *testing.T) {
+func TestEntryResponseIsCachedForItsTTL(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	var asked []string
--- a/internal/load/evidence.go
+++ b/internal/load/evidence.go
@@ -31,7 +31,7 @@
 	for request := range sources.PriorRuns {
 		delete(evidence.EngineRuns, request)
 	}
-	if evidence.ServiceRuns, err = c.gatherServiceRuns(sources.Services); err != nil {
+	if evidence.ServiceRuns, err = c.serviceRuns(sources.Services); err != nil {
 		return Evidence{}, err
 	}
 	if sources.Budgets == nil {
@@ -82,9 +82,9 @@
 	} `json:"by_body"`
 }
 
-// gatherServiceRuns returns the number of runs per call id, or nil if there are no
+// serviceRuns returns the number of runs per call id, or nil if there are no
 // addresses.
-func (c *Client) gatherServiceRuns(addresses []string) (map[string]int, error) {
+func (c *Client) serviceRuns(addresses []string) (map[string]int, error) {
 	if len(addresses) == 0 {
 		return nil, nil
 	}
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -55,8 +55,8 @@
 	Outcome            string // of the last refusal
 	IndeterminateTries int    // failed tries that may have been executed
 	Usage              Usage
-	// MaxUsage is an upper bound of the tokens that the request could use. It counts each
-	// byte of the body as a token, since a token has at least one byte.
+	// MaxUsage is an upper bound of the tokens that the request could use: the bytes of its
+	// body, since a token has at least one byte, plus the expected output tokens.
 	MaxUsage int64
 }
 
@@ -78,7 +78,7 @@
 	return hdrhistogram.New(int64(minLatency), int64(maxLatency), significantDigits)
 }
 
-// Add records a result. It does not retain the request's body or expected answer.
+// Add records a result. It does not retain the request's body or the expected answer.
 func (r *Recorder) Add(result *Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
