--- a/internal/escrow/lend.go
+++ b/internal/escrow/lend.go
@@ -78,8 +78,8 @@
 	return short
 }
 
-// TakeBack undoes a loan that did not reach its borrower.
-func (m *GrantManager) TakeBack(account string, tokens int64) {
+// VoidLoan cancels a loan that did not reach its borrower: its tokens are available again.
+func (m *GrantManager) VoidLoan(account string, tokens int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	g := m.grant(account)
--- a/internal/escrow/world_test.go
+++ b/internal/escrow/world_test.go
@@ -190,7 +190,7 @@
 	case "arrives":
 		to.manager.Accept(map[string]int64{account: tokens})
 	case "voided":
-		from.manager.TakeBack(account, tokens)
+		from.manager.VoidLoan(account, tokens)
 	}
 }
 
@@ -331,7 +331,7 @@
 		case "arrives":
 			return loan
 		case "voided":
-			from.manager.TakeBack(account, loan.Tokens)
+			from.manager.VoidLoan(account, loan.Tokens)
 		}
 	}
 	return Loan{Short: PeerUnreachable}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -28,7 +28,7 @@
 	return escrow.Loan{Tokens: lent, Used: 7}
 }
 
-func (l *fakeLender) TakeBack(_ string, tokens int64) { l.Accept(map[string]int64{"a": tokens}) }
+func (l *fakeLender) VoidLoan(_ string, tokens int64) { l.Accept(map[string]int64{"a": tokens}) }
 
 func (l *fakeLender) Accept(tokens map[string]int64) bool {
 	l.mu.Lock()
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -81,8 +81,8 @@
 type Lender interface {
 	// Lend lends up to the given number of tokens. For a waiterID it draws tokens if needed.
 	Lend(account string, tokens int64, waiterID string) escrow.Loan
-	// TakeBack undoes a loan that the borrower did not receive.
-	TakeBack(account string, tokens int64)
+	// VoidLoan cancels a loan that the borrower did not receive.
+	VoidLoan(account string, tokens int64)
 	// Accept takes tokens that another router hands over. It returns false if it took none.
 	Accept(tokens map[string]int64) bool
 }
@@ -114,7 +114,7 @@
 	result := s.lender.Lend(request.Account, request.Tokens, request.Waiter)
 	loan.Tokens, loan.Used, loan.Spent, loan.Short = result.Tokens, result.Used, result.Spent, result.Short
 	if !s.transfers.recordLoan(request.ID, request.Account, loan.Tokens) {
-		s.lender.TakeBack(request.Account, loan.Tokens)
+		s.lender.VoidLoan(request.Account, loan.Tokens)
 		loan.Tokens = 0
 	}
 	return nil
@@ -124,7 +124,7 @@
 // not be given.
 func (s *Service) Void(id TransferID, _ *struct{}) error {
 	if account, tokens := s.transfers.void(id); tokens > 0 {
-		s.lender.TakeBack(account, tokens)
+		s.lender.VoidLoan(account, tokens)
 	}
 	return nil
 }
