--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -96,7 +96,7 @@
 func TestBudgetShow(t *testing.T) {
 	o := newOperator(t)
 	o.run(documentJSON(noChange), "config", "apply", "-")
-	record := escrow.Record{Format: 1, Closed: 30, ClosedSpent: 20, Holders: map[string]map[string]escrow.GrantEntry{"vm-1": {"p1": {Seq: 1, Granted: 40, Spent: 15}}}}
+	record := escrow.Record{Format: 1, Closed: 30, ClosedSpent: 20, Entries: map[string]map[string]escrow.GrantEntry{"vm-1": {"p1": {Seq: 1, Granted: 40, Spent: 15}}}}
 	o.store.Put("chicory-budget/account/boatyard", record.Encode())
 	code, out := o.run("", "budget", "show", "boatyard")
 	o.Assert(code, qt.Equals, ExitOK, qt.Commentf(out))
--- a/internal/escrow/gather.go
+++ b/internal/escrow/gather.go
@@ -53,7 +53,7 @@
 // spentElsewhere returns what all other processes are known to have spent. The caller holds m.mu.
 func (m *GrantManager) spentElsewhere(g *grant) int64 {
 	sum := g.record.ClosedSpent + g.record.SpentBy(m.opts.VM) - g.record.GrantEntry(m.opts.VM, m.opts.Incarnation).Spent
-	for vm := range g.record.Holders {
+	for vm := range g.record.Entries {
 		if vm != m.opts.VM {
 			sum += m.spentByVM(g, vm)
 		}
@@ -126,7 +126,7 @@
 // address. The address is empty if there is no such VM that can be asked.
 func (m *GrantManager) largestOtherHolder(g *grant) (vm, address string) {
 	most, now := int64(0), m.opts.Clock().Steady
-	for name := range g.record.Holders {
+	for name := range g.record.Entries {
 		at, unreached := m.unreachedAt[name]
 		if name == m.opts.VM || m.vmAddresses[name] == "" || unreached && now-at < unreachableBackoff {
 			continue
--- a/internal/escrow/gather_test.go
+++ b/internal/escrow/gather_test.go
@@ -24,10 +24,10 @@
 	m := b.newManager("p1", noPeers{})
 	m.vmAddresses = map[string]string{m.opts.VM: "own", "vm-2": "two", "vm-3": "three"}
 	record := newRecord()
-	record.Holders[m.opts.VM] = map[string]GrantEntry{"p1": {Granted: 900_000}}
-	record.Holders["vm-2"] = map[string]GrantEntry{"p2": {Granted: 50_000, Spent: 45_000}}
-	record.Holders["vm-3"] = map[string]GrantEntry{"p3": {Granted: 20_000, Spent: 1_000}}
-	record.Holders["vm-4"] = map[string]GrantEntry{"p4": {Granted: 30_000}}
+	record.Entries[m.opts.VM] = map[string]GrantEntry{"p1": {Granted: 900_000}}
+	record.Entries["vm-2"] = map[string]GrantEntry{"p2": {Granted: 50_000, Spent: 45_000}}
+	record.Entries["vm-3"] = map[string]GrantEntry{"p3": {Granted: 20_000, Spent: 1_000}}
+	record.Entries["vm-4"] = map[string]GrantEntry{"p4": {Granted: 30_000}}
 	g := m.grant("boatyard")
 	g.record = record
 	vm, address := m.largestOtherHolder(g)
--- a/internal/escrow/record.go
+++ b/internal/escrow/record.go
@@ -34,8 +34,8 @@
 	Closed int64 `json:"closed"`
 	// ClosedSpent is the least that they spent.
 	ClosedSpent int64 `json:"closed_spent"`
-	// Holders is keyed by VM, then by incarnation.
-	Holders map[string]map[string]GrantEntry `json:"holders"`
+	// Entries is keyed by VM, then by incarnation.
+	Entries map[string]map[string]GrantEntry `json:"holders"`
 }
 
 // recordFormat is the version of the stored form of a Record.
@@ -47,7 +47,7 @@
 
 // newRecord returns the record of an account that has no grants yet.
 func newRecord() Record {
-	return Record{Format: recordFormat, Holders: map[string]map[string]GrantEntry{}}
+	return Record{Format: recordFormat, Entries: map[string]map[string]GrantEntry{}}
 }
 
 func DecodeRecord(data []byte) (Record, error) {
@@ -58,15 +58,15 @@
 	if r.Format != recordFormat || r.Closed < 0 {
 		return Record{}, errors.Wrapf(ErrInvalidRecord, "format %d, closed %d", r.Format, r.Closed)
 	}
-	for _, incarnations := range r.Holders {
+	for _, incarnations := range r.Entries {
 		for _, e := range incarnations {
 			if e.Granted < 0 {
 				return Record{}, errors.Wrap(ErrInvalidRecord, "negative grant")
 			}
 		}
 	}
-	if r.Holders == nil {
-		r.Holders = map[string]map[string]GrantEntry{}
+	if r.Entries == nil {
+		r.Entries = map[string]map[string]GrantEntry{}
 	}
 	return r, nil
 }
@@ -96,7 +96,7 @@
 // SpentBy returns the least that the listed incarnations of a VM have spent.
 func (r Record) SpentBy(vm string) int64 {
 	sum := int64(0)
-	for _, e := range r.Holders[vm] {
+	for _, e := range r.Entries[vm] {
 		sum += e.Spent
 	}
 	return sum
@@ -105,14 +105,14 @@
 // GrantedTo returns the tokens granted to the listed incarnations of a VM.
 func (r Record) GrantedTo(vm string) int64 {
 	sum := int64(0)
-	for _, e := range r.Holders[vm] {
+	for _, e := range r.Entries[vm] {
 		sum += e.Granted
 	}
 	return sum
 }
 
 func (r Record) forEachEntry(visit func(GrantEntry)) {
-	for _, incarnations := range r.Holders {
+	for _, incarnations := range r.Entries {
 		for _, e := range incarnations {
 			visit(e)
 		}
@@ -121,13 +121,13 @@
 
 // GrantEntry returns the entry of one incarnation, or the zero value if it has none.
 func (r Record) GrantEntry(vm, incarnation string) GrantEntry {
-	return r.Holders[vm][incarnation]
+	return r.Entries[vm][incarnation]
 }
 
 // HasOtherEntries reports whether the record lists incarnations of a VM other than the
 // present one.
 func (r Record) HasOtherEntries(vm, present string) bool {
-	for incarnation := range r.Holders[vm] {
+	for incarnation := range r.Entries[vm] {
 		if incarnation != present {
 			return true
 		}
@@ -142,7 +142,7 @@
 // incarnations of the same VM are closed, since their processes are gone.
 func (r Record) WithEntry(vm, incarnation string, e GrantEntry, maxSpent MaxSpentFunc) Record {
 	next := r.withoutVM(vm, incarnation, maxSpent)
-	next.Holders[vm] = map[string]GrantEntry{incarnation: e}
+	next.Entries[vm] = map[string]GrantEntry{incarnation: e}
 	return next
 }
 
@@ -159,13 +159,13 @@
 // incarnation's are closed: what they can have spent is added to Closed.
 func (r Record) withoutVM(vm, present string, maxSpent MaxSpentFunc) Record {
 	next := Record{Format: recordFormat, Closed: r.Closed, ClosedSpent: r.ClosedSpent,
-		Holders: make(map[string]map[string]GrantEntry, len(r.Holders)+1)}
-	for other, incarnations := range r.Holders {
+		Entries: make(map[string]map[string]GrantEntry, len(r.Entries)+1)}
+	for other, incarnations := range r.Entries {
 		if other != vm {
-			next.Holders[other] = incarnations
+			next.Entries[other] = incarnations
 		}
 	}
-	for incarnation, e := range r.Holders[vm] {
+	for incarnation, e := range r.Entries[vm] {
 		if incarnation != present {
 			next.Closed += maxSpent(incarnation, e)
 			next.ClosedSpent += e.Spent
--- a/internal/escrow/statement.go
+++ b/internal/escrow/statement.go
@@ -65,7 +65,7 @@
 	}
 	s := Statement{Account: account, Spent: record.MinSpent(), Free: max(0, prepaid-record.TotalGranted()),
 		InDoubt: record.Closed - record.ClosedSpent, Holdings: []Holding{}}
-	for vm, incarnations := range record.Holders {
+	for vm, incarnations := range record.Entries {
 		for incarnation, entry := range incarnations {
 			s.Holdings = append(s.Holdings, holdingOf(values, account, vm, incarnation, entry))
 		}
--- a/internal/escrow/statement_test.go
+++ b/internal/escrow/statement_test.go
@@ -12,7 +12,7 @@
 // statementItems returns the stored items of a budget with three holders: one in contact,
 // one whose process was replaced, and a silent one.
 func statementItems(at time.Time) []store.Item {
-	record := Record{Format: recordFormat, Closed: 300, ClosedSpent: 200, Holders: map[string]map[string]GrantEntry{
+	record := Record{Format: recordFormat, Closed: 300, ClosedSpent: 200, Entries: map[string]map[string]GrantEntry{
 		"vm-1": {"p1": {Seq: 1, Granted: 400, Spent: 150}},
 		"vm-2": {"p2": {Seq: 1, Granted: 100, Spent: 50}},
 		"vm-3": {"p3": {Seq: 1, Granted: 50, Spent: 10}},
--- a/internal/operate/budgets.go
+++ b/internal/operate/budgets.go
@@ -72,7 +72,7 @@
 		name := string(d.Contracts[i].Account)
 		record := records[name]
 		budgets = append(budgets, Budget{Account: name, Prepaid: int64(d.Contracts[i].Prepaid),
-			Spent: record.MinSpent(), Granted: record.TotalGranted(), Holders: len(record.Holders)})
+			Spent: record.MinSpent(), Granted: record.TotalGranted(), Holders: len(record.Entries)})
 	}
 	sort.Slice(budgets, func(i, j int) bool { return budgets[i].Account < budgets[j].Account })
 	return budgets, nil
