--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -47,12 +47,12 @@
 	log    *event.Log
 	now    func() time.Time
 
-	mu      sync.Mutex
-	present map[string]Member
-	items   map[string]store.Item // stored items of the present members
-	expired map[string]bool       // missing since an outage, kept for the grace period
-	grace   grace
-	reached bool
+	mu        sync.Mutex
+	present   map[string]Member
+	items     map[string]store.Item // stored items of the present members
+	expired   map[string]bool       // missing since an outage, kept for the grace period
+	grace     grace
+	reachable bool
 	// sorted caches the present members in order of name; nil after a change.
 	sorted []Member
 	// version is incremented by each change of present.
@@ -71,13 +71,13 @@
 // SetReachable implements store.Sink. While the store is unreachable, missing members can't
 // reregister and are not dropped; otherwise a second outage right after the first would empty
 // the list. Only Reset and Apply, which carry the store's answer, mark it reachable again.
-func (m *Members) SetReachable(reached bool, cause error) {
+func (m *Members) SetReachable(reachable bool, cause error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !reached {
-		m.reached = false
+	if !reachable {
+		m.reachable = false
 	}
-	LogContact(m.log, "routers", reached, cause)
+	LogReachable(m.log, "routers", reachable, cause)
 }
 
 // Reset implements store.Sink.
@@ -86,7 +86,7 @@
 	defer m.mu.Unlock()
 	m.grace.observeSilence(silence)
 	reset(m, items)
-	m.reached = true
+	m.reachable = true
 }
 
 // Apply implements store.Sink.
@@ -95,7 +95,7 @@
 	defer m.mu.Unlock()
 	m.grace.observeSilence(silence)
 	apply(m, events)
-	m.reached = true
+	m.reachable = true
 }
 
 // maxMemberSilence is the longest time between two answers of the watch on members if nothing
@@ -185,7 +185,7 @@
 func (m *Members) Snapshot() (list []Member, version uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.reached && !m.grace.active() {
+	if m.reachable && !m.grace.active() {
 		for key := range m.expired {
 			m.remove(key)
 		}
--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -28,10 +28,10 @@
 	// rejected holds, by key, why the present entry can't be used, so that a writer that
 	// repeats a bad entry causes only one log line.
 	rejected map[string]string
-	// reached is set while the store is reachable. Otherwise a missing entry can't be
-	// written again and is not dropped.
-	reached bool
-	grace   grace
+	// reachable is set by each answer of the store and cleared when a call fails. While it is
+	// false, a missing entry can't be written again and is not dropped.
+	reachable bool
+	grace     grace
 	// evacuated holds the failure domains whose servers get no new requests.
 	evacuated map[string]bool
 	// warmUp returns how long a service's servers are cold after a start.
@@ -40,9 +40,9 @@
 	// the store on behalf of this one.
 	lastAnswer time.Time
 	view       atomic.Pointer[View]
-	// graceEnd is when the missing entries are to be dropped; nil if none is missing. It is a
-	// time.Time with a monotonic reading: if the wall clock jumped back, a server that left
-	// would stay in use for longer.
+	// graceEnd is when the missing entries are to be dropped; nil if none is missing. It holds a
+	// time.Time rather than a Unix time for its monotonic reading: with a wall clock that jumped
+	// back, a server that left would stay in use for longer.
 	graceEnd atomic.Pointer[time.Time]
 }
 
@@ -71,7 +71,7 @@
 		now = time.Now
 	}
 	r := &Registry{decode: decode, log: log, now: now, servers: make(map[string]*tracked),
-		rejected: make(map[string]string), reached: true, grace: grace{now: now}, evacuated: make(map[string]bool),
+		rejected: make(map[string]string), reachable: true, grace: grace{now: now}, evacuated: make(map[string]bool),
 		warmUp: func(string) time.Duration { return 0 }}
 	r.view.Store(&View{ByService: map[string][]*Server{}})
 	return r
@@ -91,14 +91,14 @@
 
 // SetReachable implements store.Sink. Only Reset and Apply, which carry the store's answer, mark it
 // reachable again: otherwise missing entries could be dropped before that answer is applied.
-func (r *Registry) SetReachable(reached bool, cause error) {
+func (r *Registry) SetReachable(reachable bool, cause error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !reached {
-		r.reached = false
+	if !reachable {
+		r.reachable = false
 		r.publish()
 	}
-	LogContact(r.log, "backend servers", reached, cause)
+	LogReachable(r.log, "backend servers", reachable, cause)
 }
 
 // Reset implements store.Sink.
@@ -121,7 +121,7 @@
 
 // recordAnswer notes that an answer of the store has been applied, and publishes the new view.
 func (r *Registry) recordAnswer() {
-	r.lastAnswer, r.reached = r.now(), true
+	r.lastAnswer, r.reachable = r.now(), true
 	r.publish()
 }
 
@@ -334,7 +334,7 @@
 	view := &View{ByService: make(map[string][]*Server)}
 	var due *time.Time
 	for key, known := range r.servers {
-		if known.expired && r.reached {
+		if known.expired && r.reachable {
 			if !r.grace.active() {
 				r.drop(key, known, "lapsed")
 				continue
@@ -356,11 +356,12 @@
 	r.graceEnd.Store(due)
 }
 
-// LogContact logs that the store has become reachable or unreachable to the watch on what.
-func LogContact(log *event.Log, what string, reached bool, cause error) {
-	if reached {
-		log.Emit(event.StoreReachable, slog.String("follows", what))
+// LogReachable logs that the store has become reachable or unreachable; watched names the data that
+// the caller watches.
+func LogReachable(log *event.Log, watched string, reachable bool, cause error) {
+	if reachable {
+		log.Emit(event.StoreReachable, slog.String("follows", watched))
 		return
 	}
-	log.Emit(event.StoreUnreachable, slog.String("follows", what), slog.Any(event.KeyCause, cause))
+	log.Emit(event.StoreUnreachable, slog.String("follows", watched), slog.Any(event.KeyCause, cause))
 }
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -92,8 +92,8 @@
 	node *Node
 }
 
-func (s *configSink) SetReachable(reached bool, cause error) {
-	fleet.LogContact(s.node.log, "configuration", reached, cause)
+func (s *configSink) SetReachable(reachable bool, cause error) {
+	fleet.LogReachable(s.node.log, "configuration", reachable, cause)
 }
 
 func (s *configSink) Reset(items []store.Item, _ store.Silence) {
@@ -140,8 +140,8 @@
 	node *Node
 }
 
-func (s *fleetSink) SetReachable(reached bool, cause error) {
-	s.node.members.SetReachable(reached, cause)
+func (s *fleetSink) SetReachable(reachable bool, cause error) {
+	s.node.members.SetReachable(reachable, cause)
 }
 
 func (s *fleetSink) Reset(items []store.Item, silence store.Silence) {
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -15,8 +15,8 @@
 	// Apply applies changes, in the order of their revisions.
 	Apply(events []Event, silence Silence)
 	// SetReachable reports whether the last call was answered. It is called when that changes,
-	// after the data of the answer has been passed on. cause is the error if reached is false.
-	SetReachable(reached bool, cause error)
+	// after the data of the answer has been passed on. cause is the error if reachable is false.
+	SetReachable(reachable bool, cause error)
 }
 
 // Relay reads other routers' Feeds of a prefix.
