--- a/internal/escrow/ceiling_test.go
+++ b/internal/escrow/ceiling_test.go
@@ -65,7 +65,7 @@
 	return ledger
 }
 
-// Guards against crashes that lose the ceiling of a busier time.
+// Guards against a ceiling that stays high after a busy time: a crash then would lose the excess.
 func TestCeilingDropsWithUse(t *testing.T) {
 	c := qt.New(t)
 	b, m, g := startTestbed()
--- a/internal/escrow/draw.go
+++ b/internal/escrow/draw.go
@@ -117,9 +117,9 @@
 // homes together.
 const minFreeableShare = 0.005
 
-// holdsTokens reports whether this router has unused tokens of its own grants, or draws for
-// other routers. A router that only borrows, or has used up its grants, needs no ledger:
-// its successor has nothing to free.
+// holdsTokens reports whether this router has unused tokens of its own grants or an unanswered
+// write, or draws for other routers. A router that only borrows, or has used up its grants,
+// needs no ledger: its successor has nothing to free.
 func (m *GrantManager) holdsTokens(budgets map[string]int64) bool {
 	for account, g := range m.grants {
 		unused := float64(g.granted - g.used())
@@ -172,7 +172,7 @@
 	}
 }
 
-// logClosedGrants logs the closed grants of dead incarnations, once this is stored.
+// logClosedGrants logs the grants that a committed transaction closed.
 func (m *GrantManager) logClosedGrants(d draw) {
 	for _, c := range d.closedGrants {
 		m.opts.Log.Emit(event.GrantClosed, slog.String(event.KeyBudget, c.account), slog.String("holder", c.incarnation),
--- a/internal/escrow/gather.go
+++ b/internal/escrow/gather.go
@@ -78,7 +78,7 @@
 	if g.shortGatherAt > 0 && m.opts.Clock().Steady-g.shortGatherAt < shortGatherBackoff {
 		return false
 	}
-	vm, address := m.largestOtherHolder(g)
+	vm, address := m.vmWithMostUnspent(g)
 	if address == "" {
 		return false
 	}
@@ -122,13 +122,14 @@
 	return gatherings
 }
 
-// largestOtherHolder returns the other VM that is known to have the most unspent tokens, and its
-// address. The address is empty if there is no such VM that can be asked.
-func (m *GrantManager) largestOtherHolder(g *grant) (vm, address string) {
+// vmWithMostUnspent returns the VM, other than this one, that is known to have the most unspent
+// tokens, and its address. VMs that have no known address or recently did not answer are left
+// out; both results are empty if no other has any.
+func (m *GrantManager) vmWithMostUnspent(g *grant) (vm, address string) {
 	most, now := int64(0), m.opts.Clock().Steady
 	for name := range g.record.Entries {
-		at, unreached := m.unreachedAt[name]
-		if name == m.opts.VM || m.vmAddresses[name] == "" || unreached && now-at < unreachableBackoff {
+		at, unreachable := m.vmUnreachableAt[name]
+		if name == m.opts.VM || m.vmAddresses[name] == "" || unreachable && now-at < unreachableBackoff {
 			continue
 		}
 		left := g.record.GrantedTo(name) - m.spentByVM(g, name)
@@ -151,7 +152,7 @@
 	g.gathering = false
 	now := m.opts.Clock().Steady
 	if loan.Short == PeerUnreachable {
-		m.unreachedAt[req.vm] = now
+		m.vmUnreachableAt[req.vm] = now
 	} else {
 		g.reports[req.vm] = usageReport{spent: loan.Spent, at: now}
 		if loan.Tokens < req.tokens {
@@ -172,7 +173,7 @@
 const noWaiter = ""
 
 // ledgerAddress returns the address in a stored ledger, or "" if it has none. It decodes no
-// further than the address, since the ledger of thousands of accounts is large.
+// further than the address, since a ledger with thousands of accounts is large.
 func ledgerAddress(data []byte) string {
 	d := json.NewDecoder(bytes.NewReader(data))
 	for depth, key := 0, ""; ; {
--- a/internal/escrow/gather_test.go
+++ b/internal/escrow/gather_test.go
@@ -19,7 +19,7 @@
 
 // Guards against calls to a router that holds fewer tokens than another, or that recently did not
 // answer.
-func TestLargestOtherHolder(t *testing.T) {
+func TestVMWithMostUnspent(t *testing.T) {
 	b := newTestbed(1_000_000)
 	m := b.newManager("p1", noPeers{})
 	m.vmAddresses = map[string]string{m.opts.VM: "own", "vm-2": "two", "vm-3": "three"}
@@ -30,14 +30,14 @@
 	record.Entries["vm-4"] = map[string]GrantEntry{"p4": {Granted: 30_000}}
 	g := m.grant("boatyard")
 	g.record = record
-	vm, address := m.largestOtherHolder(g)
+	vm, address := m.vmWithMostUnspent(g)
 	qt.Assert(t, vm, qt.Equals, "vm-3")
 	qt.Assert(t, address, qt.Equals, "three")
-	m.unreachedAt["vm-3"] = m.opts.Clock().Steady
-	_, address = m.largestOtherHolder(g)
+	m.vmUnreachableAt["vm-3"] = m.opts.Clock().Steady
+	_, address = m.vmWithMostUnspent(g)
 	qt.Assert(t, address, qt.Equals, "two")
 	b.steady += unreachableBackoff
-	_, address = m.largestOtherHolder(g)
+	_, address = m.vmWithMostUnspent(g)
 	qt.Assert(t, address, qt.Equals, "three")
 }
 
@@ -72,7 +72,7 @@
 		m.runGathering(context.Background(), g)
 	}
 	c.Assert(m.shortageError(r), qt.Equals, ErrExhausted)
-	vm, _ := m.largestOtherHolder(r.grant)
+	vm, _ := m.vmWithMostUnspent(r.grant)
 	c.Assert(vm, qt.Equals, "")
 	b.steady += usageReportTTL
 	c.Assert(m.shortageError(r), qt.Equals, ErrContended, qt.Commentf("the report has expired"))
--- a/internal/escrow/grant.go
+++ b/internal/escrow/grant.go
@@ -75,8 +75,8 @@
 	lastAskedAt        time.Duration // when it was last asked for tokens as a holder; 0: never
 	nextLastResortDraw time.Duration // earliest next draw when no holder can draw
 	emptyBorrowAt      time.Duration // when no other router had any tokens; 0: never
-	gathering          bool          // another holder of a grant is being asked for tokens
-	shortGatherAt      time.Duration // when such a router had less than it was asked for; 0: never
+	gathering          bool          // a gathering is pending or in progress
+	shortGatherAt      time.Duration // when a gathering last got less than it asked for; 0: never
 	recentlyLent       recentLoans   // may be returned unused
 
 	rate                float64 // tokens per second, averaged since the first use
@@ -183,8 +183,8 @@
 		more := min(headroom-unused, ungranted)
 		return g.granted + max(0, more), more > 0
 	case as == borrower && g.waitingTokens == 0 && unused > 0 && g.allowance.Ceiling < g.granted:
-		// This router was the home before: it returns what is above the ceiling. What is
-		// below goes to the new home.
+		// This router was the home before: it returns what is above the ceiling. Sweeps
+		// send the rest to the new home.
 		return max(g.used(), min(g.granted, g.allowance.Ceiling)), true
 	case g.record.TotalGranted() > prepaid && unused > 0:
 		// The budget was lowered. The excess is returned, or this router would go on
--- a/internal/escrow/holders.go
+++ b/internal/escrow/holders.go
@@ -177,14 +177,14 @@
 func (m *GrantManager) isUnavailable(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	at, found := m.holderDownAt[address]
+	at, found := m.holderUnavailableAt[address]
 	return found && m.opts.Clock().Steady-at < holderBackoff
 }
 
 func (m *GrantManager) markUnavailable(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.holderDownAt[address] = m.opts.Clock().Steady
+	m.holderUnavailableAt[address] = m.opts.Clock().Steady
 }
 
 // lastResortInterval is the mean time between two draws of a router that is not a holder, while
--- a/internal/escrow/holders_test.go
+++ b/internal/escrow/holders_test.go
@@ -60,15 +60,15 @@
 	deadCalls atomic.Int64 // calls to dead routers
 }
 
-// newTestFleet starts routers r0, r1 and so on, size in all. The first MaxHolders of them are the
-// account's holders. The store is unavailable to the first unavailable ones.
-func newTestFleet(ctx context.Context, tasks *conc.WaitGroup, size, unavailable int, paid int64) *testFleet {
+// newTestFleet starts size routers named r0, r1 and so on. The first MaxHolders of them are the
+// account's holders. The first withoutStore of them can't reach the store.
+func newTestFleet(ctx context.Context, tasks *conc.WaitGroup, size, withoutStore int, paid int64) *testFleet {
 	f := &testFleet{managers: make(map[string]*GrantManager), stores: make(map[string]*gatedStore)}
 	began := time.Now()
 	sharedStore := memstore.New(time.Now)
 	for i := range size {
 		name := fmt.Sprintf("r%d", i)
-		f.stores[name] = &gatedStore{Store: sharedStore, unavailable: i < unavailable}
+		f.stores[name] = &gatedStore{Store: sharedStore, unavailable: i < withoutStore}
 		manager := New(Options{
 			Store: f.stores[name], Prefix: "budget/", VM: name, Address: name, Incarnation: name,
 			Budgets: func() map[string]int64 { return map[string]int64{"boatyard": paid} }, Log: event.Discard(),
@@ -194,11 +194,11 @@
 }
 
 // runFleet runs a test on a fleet in virtual time, once the fleet has had time for its first draws.
-func runFleet(t *testing.T, size, unavailable int, paid int64, test func(ctx context.Context, f *testFleet)) {
+func runFleet(t *testing.T, size, withoutStore int, paid int64, test func(ctx context.Context, f *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var tasks conc.WaitGroup
-		f := newTestFleet(ctx, &tasks, size, unavailable, paid)
+		f := newTestFleet(ctx, &tasks, size, withoutStore, paid)
 		time.Sleep(2 * time.Second)
 		test(ctx, f)
 		cancel()
@@ -207,7 +207,7 @@
 }
 
 // Guards against draws by every router when the account's first holders can't reach the store.
-func TestOneStandbyWritesWhileStoreRejectsHome(t *testing.T) {
+func TestOneStandbyWritesWhileHigherRankedCannot(t *testing.T) {
 	for _, size := range []int{24, 96} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			runFleet(t, size, 3, 1_000_000_000, func(ctx context.Context, f *testFleet) {
--- a/internal/escrow/keeper.go
+++ b/internal/escrow/keeper.go
@@ -29,7 +29,7 @@
 	ErrUnreachable = errors.New("escrow: store unreachable")
 )
 
-// Budgets returns the prepaid total of each metered account, by the newest configuration.
+// Budgets returns the prepaid total of each metered account in the newest configuration.
 type Budgets func() map[string]int64
 
 // Options configure a GrantManager.
@@ -46,7 +46,7 @@
 	// others, or "" if it is this router. Routers may disagree for a while, which only
 	// costs a few more draws.
 	Home func(account string) string
-	// Holders returns the addresses of an account's holders in their order, at most
+	// Holders returns the addresses of an account's holders by rank, at most
 	// MaxHolders: the home, then those that draw in its place while it can't reach the
 	// store. This router is "".
 	Holders func(account string) []string
@@ -91,12 +91,13 @@
 	// roundTrip is the duration of the slowest recent write: it rises at once and falls
 	// slowly.
 	roundTrip time.Duration
-	// holderDownAt is when a holder was last found to be unable to draw, by address.
-	holderDownAt map[string]time.Duration
+	// holderUnavailableAt is when a holder was last unreachable or could not reach the store,
+	// by address.
+	holderUnavailableAt map[string]time.Duration
 	// vmAddresses holds the addresses of the VMs that have a ledger, as of the last read.
 	vmAddresses map[string]string
-	// unreachedAt is when a VM last failed to answer a gathering.
-	unreachedAt map[string]time.Duration
+	// vmUnreachableAt is when a VM last failed to answer a gathering, by VM.
+	vmUnreachableAt map[string]time.Duration
 	// pendingGatherings are requested but not started.
 	pendingGatherings []gathering
 	gatherDue         chan struct{}
@@ -126,8 +127,8 @@
 // New returns a GrantManager without grants. Run draws the first ones.
 func New(opts Options) *GrantManager {
 	return &GrantManager{
-		opts: opts, startClock: opts.Clock(), grants: make(map[string]*grant), holderDownAt: make(map[string]time.Duration),
-		vmAddresses: make(map[string]string), unreachedAt: make(map[string]time.Duration),
+		opts: opts, startClock: opts.Clock(), grants: make(map[string]*grant), holderUnavailableAt: make(map[string]time.Duration),
+		vmAddresses: make(map[string]string), vmUnreachableAt: make(map[string]time.Duration),
 		gatherDue: make(chan struct{}, 1), changed: make(chan struct{}), wake: make(chan struct{}, 1),
 	}
 }
@@ -319,9 +320,10 @@
 	return false
 }
 
-// isShort reports whether this router wants more tokens than a record can give, as last
-// read. Others may have returned or freed tokens since, which only another read shows.
-// Without it a home that found the whole budget granted at its start would never draw.
+// isShort reports whether the records were last read at least readInterval ago and this
+// router wants more tokens than one of them could give then. Others may have returned or
+// freed tokens since, which only another read shows. Without it a home that found the whole
+// budget granted at its start would never draw.
 func (m *GrantManager) isShort() bool {
 	budgets := m.opts.Budgets()
 	m.mu.Lock()
--- a/internal/escrow/ledger_test.go
+++ b/internal/escrow/ledger_test.go
@@ -80,7 +80,7 @@
 	qt.Assert(t, float64(allowed-used) < 0.1*prepaid, qt.IsTrue, qt.Commentf("%d of %d lost", allowed-used, prepaid))
 }
 
-// newTestGrant returns a grant of some tokens on an account without other holders.
+// newTestGrant returns a grant of some tokens on an account without other grants.
 func newTestGrant(tokens int64) *grant {
 	g := newGrant("boatyard")
 	own := GrantEntry{Seq: 1, Granted: tokens}
@@ -88,8 +88,8 @@
 	return g
 }
 
-// Guards against refusals in an outage early in a budget in which no router crashes.
-func TestOutageEarlyInBudgetIsBridged(t *testing.T) {
+// Guards against refusals during an outage while most of the budget is left and no router crashes.
+func TestOutageEarlyInBudgetCausesNoRefusals(t *testing.T) {
 	const prepaid, rate = 3_500_000, 100_000
 	g := newTestGrant(2_000_000)
 	g.rate, g.rateWeight, g.spent = rate, 1, 500_000
--- a/internal/escrow/lend.go
+++ b/internal/escrow/lend.go
@@ -110,7 +110,7 @@
 }
 
 // sweep returns unused tokens to the accounts' homes. Otherwise every router would keep a small
-// part of the budget, which would be lost if it died and could not be used elsewhere.
+// part of the budget, which no other router could use and which would be lost if it died.
 func (m *GrantManager) sweep(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
 	defer cancel()
@@ -120,7 +120,7 @@
 }
 
 // takeSurplus takes the unused tokens of all accounts for which this router is neither home nor
-// standby, and counts them as lent. The result is by address of the home, then by account.
+// standby, and counts them as lent. The result is keyed by address of the home, then by account.
 func (m *GrantManager) takeSurplus() map[string]map[string]int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/escrow/queue.go
+++ b/internal/escrow/queue.go
@@ -3,8 +3,8 @@
 import "time"
 
 // queue orders the requests that wait for tokens of one account during an outage of the store,
-// when few tokens may be spent. Without it each request takes a part of these few, none gets
-// enough, and all are refused.
+// when few tokens may be spent. Without it each request would take a part of these few, none
+// would get enough, and all would be refused.
 type queue struct {
 	waiters []waiter
 }
@@ -21,7 +21,7 @@
 const waiterTimeout = 400 * time.Millisecond
 
 // admit reports whether a request may take all its tokens now, which requires that the requests
-// ahead of it can be served too. If not, the request has a place in the queue.
+// ahead of it can be served too. If not, the request joins the queue or keeps its place in it.
 func (q *queue) admit(id string, tokens, available int64, now time.Duration) bool {
 	q.dropExpired(now)
 	ahead := int64(0)
--- a/internal/escrow/record.go
+++ b/internal/escrow/record.go
@@ -1,6 +1,6 @@
 // Package escrow limits the spending of prepaid tokens across routers. A router spends
-// only from grants that a durable record per client account counts as granted, so that
-// no sequence of failures can spend more than was paid.
+// only tokens that a durable record, one per client account, shows as granted to it, so
+// that no sequence of failures leads to more spending than was paid for.
 //
 // The record holds one entry per router incarnation (one run of the router process) with
 // the total granted to it as an absolute number. A router is the only writer of its own
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -35,7 +35,7 @@
 		return nil
 	}
 	if canDraw {
-		return short.err() // the holder can draw and the budget has no more: no router has
+		return short.err() // a holder that can draw got no more, so this router would not either
 	}
 	if m.mayDraw(r.grant) {
 		if err := m.awaitDraw(ctx, r); !errors.Is(err, ErrUnreachable) {
@@ -74,7 +74,8 @@
 	}
 }
 
-// retry gets the missing tokens from this router's own grant and from the account's holders.
+// retry tries again to get the missing tokens, from this router's own grant and from the
+// account's holders.
 func (m *GrantManager) retry(ctx context.Context, r *pendingReservation) error {
 	m.mu.Lock()
 	r.fill()
@@ -93,10 +94,10 @@
 const isolationThreshold = 3
 
 // trackIsolation counts the consecutive reservations that failed with ErrUnreachable.
-func (m *GrantManager) trackIsolation(isolated bool) {
+func (m *GrantManager) trackIsolation(unreachable bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !isolated {
+	if !unreachable {
 		m.isolatedCount = 0
 		return
 	}
@@ -201,8 +202,8 @@
 
 // awaitDraw waits until draws have covered the missing tokens, or returns why they can't.
 func (m *GrantManager) awaitDraw(ctx context.Context, r *pendingReservation) error {
-	drawTimeout := time.NewTimer(m.drawTimeout())
-	defer drawTimeout.Stop()
+	timer := time.NewTimer(m.drawTimeout())
+	defer timer.Stop()
 	for round := 0; ; round++ {
 		changed, err := m.fillOrWait(r, round > 0)
 		if changed == nil {
@@ -211,7 +212,7 @@
 		select {
 		case <-ctx.Done():
 			err = ErrUnreachable
-		case <-drawTimeout.C:
+		case <-timer.C:
 			err = m.drawTimeoutError(r)
 		case <-changed:
 		}
--- a/internal/escrow/stop.go
+++ b/internal/escrow/stop.go
@@ -39,7 +39,8 @@
 }
 
 // planReturn prepares a transaction that returns the unspent tokens of up to maxTxnAccounts
-// accounts. It returns false if there are none to return.
+// accounts and removes this incarnation's entries. It returns false if no record is known to
+// have such an entry.
 func (m *GrantManager) planReturn() (draw, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/escrow/world_test.go
+++ b/internal/escrow/world_test.go
@@ -84,7 +84,7 @@
 	return home.vm
 }
 
-// noPeers are unreachable. Schedules that use it lend in separate actions.
+// noPeers are unreachable. Schedules that use them lend in separate actions.
 type noPeers struct{}
 
 func (noPeers) BorrowFrom(context.Context, string, string, int64, string) Loan {
@@ -209,8 +209,8 @@
 	c.deliverLoan(from, to, account, lent)
 }
 
-// handBack is a sweep; the tokens that it hands over arrive or are lost.
-func (c *cluster) handBack(*rapid.T) {
+// sweep returns a router's unused tokens to the accounts' homes. They arrive or are lost.
+func (c *cluster) sweep(*rapid.T) {
 	from := c.router("borrower")
 	for address, tokens := range from.manager.takeSurplus() {
 		if !rapid.Bool().Draw(c.t, "arrives") {
@@ -318,12 +318,12 @@
 type clusterPeers struct {
 	noPeers
 	cluster *cluster
-	own     *simRouter
+	self    *simRouter
 }
 
 func (p clusterPeers) BorrowFrom(_ context.Context, address, account string, tokens int64, waiterID string) Loan {
 	for _, from := range p.cluster.routers {
-		if from.vm != address || from == p.own || !rapid.Bool().Draw(p.cluster.t, "reached") {
+		if from.vm != address || from == p.self || !rapid.Bool().Draw(p.cluster.t, "reached") {
 			continue
 		}
 		loan := from.manager.Lend(account, tokens, waiterID)
@@ -341,7 +341,7 @@
 // tokens from others.
 func (c *cluster) exhaust(*rapid.T) {
 	r, account := c.router("router"), c.account()
-	r.manager.opts.Peers = clusterPeers{cluster: c, own: r}
+	r.manager.opts.Peers = clusterPeers{cluster: c, self: r}
 	for range rapid.IntRange(1, 20).Draw(c.t, "requests") {
 		pending := r.manager.newPendingReservation(account, rapid.Int64Range(1, 15_000).Draw(c.t, "tokens"), true, "")
 		for range 3 {
@@ -357,7 +357,7 @@
 	}
 }
 
-// Guards against overspending when a router gathers tokens from other holders.
+// Guards against overspending when a router gathers tokens from others.
 func TestNoScheduleWithGatheringSpendsMoreThanWasPaid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, rapid.IntRange(2, 4).Draw(t, "vms"))
@@ -375,7 +375,7 @@
 		c := newCluster(t, rapid.IntRange(2, 5).Draw(t, "vms"))
 		t.Repeat(map[string]func(*rapid.T){
 			"reserve": c.reserve, "work": c.serveRequests, "work more": c.serveRequests, "settle": c.settle, "round": c.syncStore, "round again": c.syncStore,
-			"ask": c.lendAsHolder, "ask again": c.lendAsHolder, "hand back": c.handBack, "lend": c.lend, "kill": c.kill, "lose power": c.losePower,
+			"ask": c.lendAsHolder, "ask again": c.lendAsHolder, "hand back": c.sweep, "lend": c.lend, "kill": c.kill, "lose power": c.losePower,
 			"stop": c.stop, "tick": c.advance, "outage": c.setOutage, "fates": c.setOutcome, "settle late": c.applyLateWrites, "": c.checkConsumed,
 		})
 	})
