--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -26,7 +26,7 @@
 
 // Bounds that the tests check, and the times at which they inject faults.
 const (
-	drain        = 2 * time.Second // how long a leaving server keeps serving
+	drainTime    = 2 * time.Second // how long a leaving server keeps serving
 	maxConfigAge = 2 * time.Second // within this time a new configuration must be in force
 	maxFleetAge  = 3 * time.Second // within this time a router's record must reach all others
 	defaultRTT   = 5 * time.Millisecond
@@ -45,7 +45,7 @@
 	watchesHang bool          // watches get no answer, as if their connections were dead
 	rtt         time.Duration // round-trip time if longer than defaultRTT
 	readsHang   bool          // the response to a read is too long for the link
-	callCount   int
+	calls       int
 }
 
 func (s *faultyStore) set(update func()) {
@@ -54,8 +54,8 @@
 	update()
 }
 
-// send simulates the way of a request to the store. It blocks until ctx ends if the request is
-// lost.
+// send simulates the transmission of a request to the store. It blocks until ctx ends if the
+// request is lost.
 func (s *faultyStore) send(ctx context.Context, watch bool) error {
 	s.mu.Lock()
 	rtt := max(s.rtt, defaultRTT)
@@ -74,7 +74,7 @@
 }
 
 func (s *faultyStore) Read(ctx context.Context, prefix string) (store.Snapshot, error) {
-	s.set(func() { s.callCount++ })
+	s.set(func() { s.calls++ })
 	if err := s.send(ctx, false); err != nil {
 		return store.Snapshot{}, err
 	}
@@ -96,7 +96,7 @@
 	if err := s.connect(ctx); err != nil {
 		return store.Changes{}, err
 	}
-	s.set(func() { s.callCount++ })
+	s.set(func() { s.calls++ })
 	if err := s.reply(ctx); err != nil {
 		return store.Changes{}, err
 	}
@@ -130,7 +130,7 @@
 	}
 }
 
-// reply simulates the way of a response back from the store.
+// reply simulates the transmission of a response from the store.
 func (s *faultyStore) reply(ctx context.Context) error {
 	s.mu.Lock()
 	rtt := max(s.rtt, defaultRTT)
@@ -144,7 +144,7 @@
 }
 
 func (s *faultyStore) Watch(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
-	s.set(func() { s.callCount++ })
+	s.set(func() { s.calls++ })
 	if err := s.send(ctx, true); err != nil {
 		return store.Changes{}, err
 	}
@@ -155,10 +155,10 @@
 	return changes, s.reply(ctx)
 }
 
-// unusedRelay is the relay of a store reader, which follows the store itself.
-type unusedRelay struct{ store.Relay }
+// inactiveRelay is the relay of a store reader, which follows the store itself.
+type inactiveRelay struct{ store.Relay }
 
-func (unusedRelay) Active() bool { return false }
+func (inactiveRelay) Active() bool { return false }
 
 // silentRelay is the relay of a router that cannot reach the store reader that it follows.
 type silentRelay struct{}
@@ -228,7 +228,7 @@
 		f.store.Put("config/x", []byte("1"))
 		f.putServer("a", false)
 		f.putServer("b", false)
-		f.node = New(&Settings{VM: "vm-1", FailureDomain: "zone-1", DrainTime: drain}, Environment{
+		f.node = New(&Settings{VM: "vm-1", FailureDomain: "zone-1", DrainTime: drainTime}, Environment{
 			Store: f.store, Clock: func() escrow.ClockReading { return escrow.ClockReading{} },
 			ConfigPrefix: "config/", IsConfig: func(item store.Item) bool { return item.Key == "config/x" }, DecodeConfig: decodeTestConfig,
 			EvacuatedDomain: func(key string) (string, bool) { return strings.CutPrefix(key, "config/evacuate/") },
@@ -280,13 +280,13 @@
 func TestServerLeavingAfterPartitionIsRemovedInTime(t *testing.T) {
 	const leaveDelay = 900 * time.Millisecond
 	forEachPhase(t, func(t *testing.T, phase time.Duration) {
-		runFollowerTest(t, unusedRelay{}, func(f *followerTest) {
+		runFollowerTest(t, inactiveRelay{}, func(f *followerTest) {
 			f.store.set(func() { f.store.partitioned = true })
 			time.Sleep(8*time.Second + phase)
 			f.store.set(func() { f.store.partitioned = false })
 			time.Sleep(leaveDelay)
 			f.store.Delete("servers/a")
-			time.Sleep(max(drain, recoveryTime-leaveDelay))
+			time.Sleep(max(drainTime, recoveryTime-leaveDelay))
 			f.Assert(f.inUse("a"), qt.IsFalse)
 			f.Assert(f.inUse("b"), qt.IsTrue)
 		})
@@ -297,10 +297,10 @@
 // partition stay dead for some time; the router must not take that for an outage of the store.
 func TestServerThatLeftDuringPartitionIsRemovedInTime(t *testing.T) {
 	const (
-		leaveDelay     = 2 * time.Second
-		retransmission = 1500 * time.Millisecond
+		leaveDelay      = 2 * time.Second
+		retransmitDelay = 1500 * time.Millisecond
 	)
-	for name, relay := range map[string]store.Relay{"reader": unusedRelay{}, "follower": silentRelay{}} {
+	for name, relay := range map[string]store.Relay{"reader": inactiveRelay{}, "follower": silentRelay{}} {
 		for link, rtt := range map[string]time.Duration{"short": defaultRTT, "long": 400 * time.Millisecond} {
 			t.Run(name+"/"+link, func(t *testing.T) {
 				forEachPhase(t, func(t *testing.T, phase time.Duration) {
@@ -310,9 +310,9 @@
 						f.store.Delete("servers/a")
 						time.Sleep(9*time.Second + phase)
 						f.store.set(func() { f.store.partitioned = false })
-						time.Sleep(retransmission)
+						time.Sleep(retransmitDelay)
 						f.store.set(func() { f.store.watchesHang = false })
-						time.Sleep(recoveryTime - retransmission)
+						time.Sleep(recoveryTime - retransmitDelay)
 						f.Assert(f.inUse("a"), qt.IsFalse)
 						f.Assert(f.inUse("b"), qt.IsTrue)
 					})
@@ -351,13 +351,13 @@
 // Guards against services without servers after an outage of the store: servers whose entries
 // expired during the outage stay in use until they have had time to register again.
 func TestServersWithEntriesExpiredInOutageStayInUse(t *testing.T) {
-	outages := map[string]func(s *faultyStore, away bool){
+	outages := map[string]func(s *faultyStore, down bool){
 		"cut":     func(s *faultyStore, down bool) { s.set(func() { s.partitioned = down }) },
 		"refuses": func(s *faultyStore, down bool) { s.SetDown(down) },
 	}
-	const returnTime = 1900 * time.Millisecond
+	const reregisterTime = 1900 * time.Millisecond
 	for outage, set := range outages {
-		for name, relay := range map[string]store.Relay{"reader": unusedRelay{}, "follower": silentRelay{}} {
+		for name, relay := range map[string]store.Relay{"reader": inactiveRelay{}, "follower": silentRelay{}} {
 			t.Run(outage+"/"+name, func(t *testing.T) {
 				forEachPhase(t, func(t *testing.T, phase time.Duration) {
 					runFollowerTest(t, relay, func(f *followerTest) {
@@ -365,7 +365,7 @@
 						time.Sleep(8*time.Second + phase)
 						f.store.Delete("servers/a")
 						set(f.store, false)
-						for range returnTime / phaseStep {
+						for range reregisterTime / phaseStep {
 							time.Sleep(phaseStep)
 							f.Assert(f.inUse("a"), qt.IsTrue)
 						}
@@ -381,7 +381,7 @@
 
 // Guards against changes that are seen late because several calls time out one after the other.
 func TestChangesAreSeenInTimeDespiteHangingCalls(t *testing.T) {
-	for name, relay := range map[string]store.Relay{"reader": unusedRelay{}, "follower": silentRelay{}} {
+	for name, relay := range map[string]store.Relay{"reader": inactiveRelay{}, "follower": silentRelay{}} {
 		t.Run(name, func(t *testing.T) {
 			forEachPhase(t, func(t *testing.T, phase time.Duration) {
 				runFollowerTest(t, relay, func(f *followerTest) {
@@ -391,11 +391,11 @@
 					f.store.Put("config/x", []byte("2"))
 					f.store.Put("config/evacuate/zone-b", []byte("{}"))
 					f.store.Put(MemberPrefix+"vm-2", []byte(`{"address":"127.0.0.1:1"}`))
-					time.Sleep(min(drain, maxConfigAge) - defaultRTT)
+					time.Sleep(min(drainTime, maxConfigAge) - defaultRTT)
 					f.Assert(f.inUse("a"), qt.IsFalse)
 					f.Assert(f.inUse("b"), qt.IsFalse, qt.Commentf("its domain is evacuated"))
 					f.Assert(f.node.policy.Load().Version, qt.Equals, int64(2))
-					time.Sleep(maxFleetAge - min(drain, maxConfigAge))
+					time.Sleep(maxFleetAge - min(drainTime, maxConfigAge))
 					f.Assert(f.node.members.List(), qt.HasLen, 1)
 				})
 			})
@@ -407,12 +407,12 @@
 // as unreachable.
 func TestChangesAreSeenOverSlowLink(t *testing.T) {
 	forEachPhase(t, func(t *testing.T, phase time.Duration) {
-		runFollowerTest(t, unusedRelay{}, func(f *followerTest) {
+		runFollowerTest(t, inactiveRelay{}, func(f *followerTest) {
 			f.store.set(func() { f.store.rtt = 900 * time.Millisecond })
 			time.Sleep(5*time.Second + phase)
 			f.putServer("a", true)
 			f.store.Put("config/x", []byte("2"))
-			time.Sleep(min(drain, maxConfigAge))
+			time.Sleep(min(drainTime, maxConfigAge))
 			f.Assert(f.inUse("a"), qt.IsFalse)
 			f.Assert(f.node.policy.Load().Version, qt.Equals, int64(2))
 			time.Sleep(10 * time.Second)
@@ -424,7 +424,7 @@
 
 // Guards against a router that stays stale while its link is too congested for full reads.
 func TestChangesAreSeenWhenOnlyShortResponsesArrive(t *testing.T) {
-	runFollowerTest(t, unusedRelay{}, func(f *followerTest) {
+	runFollowerTest(t, inactiveRelay{}, func(f *followerTest) {
 		f.store.SetDown(true)
 		time.Sleep(8 * time.Second)
 		f.store.set(func() { f.store.readsHang = true })
@@ -435,31 +435,32 @@
 	})
 }
 
-// calls returns the number of reads and watches so far.
-func (s *faultyStore) calls() int {
+// callCount returns the number of reads and watches so far.
+func (s *faultyStore) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.callCount
+	return s.calls
 }
 
 // Guards against more calls to a healthy store than one watch per prefix and watch cycle.
 func TestFollowersMakeFewCallsInNormalOperation(t *testing.T) {
-	runFollowerTest(t, unusedRelay{}, func(f *followerTest) {
-		before := f.store.calls()
+	runFollowerTest(t, inactiveRelay{}, func(f *followerTest) {
+		before := f.store.callCount()
 		time.Sleep(60 * time.Second)
-		calls := f.store.calls() - before
+		calls := f.store.callCount() - before
+		// The configuration and the servers are confirmed every 1.2 s, the fleet every 2.3 s.
 		const maxCalls = 2*(60*10/12+1) + 60*10/23 + 2
 		f.Assert(calls <= maxCalls, qt.IsTrue, qt.Commentf("%d calls", calls))
 	})
 }
 
-// Guards against paid calls to a store that refuses them: the followers take turns.
+// Guards against many paid calls to a store that is down: the followers take turns.
 func TestFollowersMakeFewCallsInOutage(t *testing.T) {
-	runFollowerTest(t, unusedRelay{}, func(f *followerTest) {
+	runFollowerTest(t, inactiveRelay{}, func(f *followerTest) {
 		f.store.SetDown(true)
-		before := f.store.calls()
+		before := f.store.callCount()
 		time.Sleep(60 * time.Second)
-		calls := f.store.calls() - before
+		calls := f.store.callCount() - before
 		const maxCalls = 60*10/6 + 10
 		f.Assert(calls <= maxCalls, qt.IsTrue, qt.Commentf("%d calls", calls))
 	})
@@ -467,15 +468,15 @@
 
 // Guards against one store call per change when entries change continuously.
 func TestFrequentChangesCauseFewCalls(t *testing.T) {
-	for name, relay := range map[string]store.Relay{"reader": unusedRelay{}, "follower": relayWithoutFeed{}} {
+	for name, relay := range map[string]store.Relay{"reader": inactiveRelay{}, "follower": relayWithoutFeed{}} {
 		t.Run(name, func(t *testing.T) {
 			runFollowerTest(t, relay, func(f *followerTest) {
-				before := f.store.calls()
+				before := f.store.callCount()
 				for i := range 600 {
 					f.putServer(fmt.Sprint("c", i), false)
 					time.Sleep(100 * time.Millisecond)
 				}
-				calls := f.store.calls() - before
+				calls := f.store.callCount() - before
 				const maxCalls = 2*(60*10/12+1) + 60*10/23 + 2 + 2*serversBurst
 				f.Assert(calls <= maxCalls, qt.IsTrue, qt.Commentf("%d calls", calls))
 				f.Assert(f.inUse("c590"), qt.IsTrue)
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -28,7 +28,8 @@
 	down  bool // the store is unreachable for this router
 }
 
-func (s *countingStore) record() bool {
+// countCall counts a call and reports whether the store is down for this router.
+func (s *countingStore) countCall() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -48,7 +49,7 @@
 }
 
 func (s *countingStore) Read(ctx context.Context, prefix string) (store.Snapshot, error) {
-	if s.record() {
+	if s.countCall() {
 		return store.Snapshot{}, store.ErrUnavailable
 	}
 	return s.Store.Read(ctx, prefix)
@@ -63,7 +64,7 @@
 }
 
 func (s *countingStore) Watch(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Changes, error) {
-	if s.record() {
+	if s.countCall() {
 		return store.Changes{}, store.ErrUnavailable
 	}
 	return s.Store.Watch(ctx, prefix, after, wait)
--- a/internal/node/warm_test.go
+++ b/internal/node/warm_test.go
@@ -123,7 +123,7 @@
 	f.Assert(isFirst(lost, "server"), qt.IsFalse)
 }
 
-// A stopping router does not send to cold servers; another router takes its place at once.
+// Guards against two senders to a cold server when another router takes a stopping one's place.
 func TestStoppingRouterIsNotSender(t *testing.T) {
 	f := newRankedFleet(t, 1)
 	f.setMembers(f.nodes, f.nodes)
