--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -19,7 +19,8 @@
 	// entryLeaseTTL bounds how long callers are directed to a router that crashed.
 	entryLeaseTTL      = 2500 * time.Millisecond
 	entryRenewInterval = 900 * time.Millisecond
-	storeCallTimeout   = 500 * time.Millisecond
+	// storeCallTimeout bounds a write of any record to the store, including the calls for its lease.
+	storeCallTimeout = 500 * time.Millisecond
 )
 
 // maintainEntry keeps this router's entry in the store from the time it has routing data until
--- a/internal/node/bootstrap.go
+++ b/internal/node/bootstrap.go
@@ -16,9 +16,9 @@
 	bootstrapInterval = 500 * time.Millisecond
 )
 
-// bootstrap fetches the configuration, the backend servers and the routers from another router
-// if the store is unreachable at startup. Otherwise a router that starts during an outage would
-// refuse all requests until the outage ends.
+// bootstrap fetches the configuration, the backend servers, their rate limits and the routers from
+// another router if the store is unreachable at startup. Otherwise a router that starts during an
+// outage would refuse all requests until the outage ends.
 func (n *Node) bootstrap(ctx context.Context) {
 	pause := bootstrapDelay
 	for {
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -56,8 +56,8 @@
 }
 
 func (n *Node) serversFollower() *store.Follower {
-	drain := max(n.settings.DrainTime, minDrain)
-	scale := func(fraction float64) time.Duration { return time.Duration(fraction * float64(drain)) }
+	drainTime := max(n.settings.DrainTime, minDrainTime)
+	scale := func(fraction float64) time.Duration { return time.Duration(fraction * float64(drainTime)) }
 	return &store.Follower{Prefix: n.env.ServersPrefix, Sink: n.registry,
 		MaxWait: scale(serversMaxWaitFraction), Pause: scale(serversPauseFraction), CheckAfter: scale(serversCheckAfterFraction),
 		Timeout: watchTimeout, Burst: serversBurst}
@@ -77,8 +77,8 @@
 	}
 }
 
-// logStaleCheck returns a store.Follower callback that logs that the data under prefix is stale
-// and is checked by an extra call beside the one in progress.
+// logStaleCheck returns a store.Follower.StaleCheckStarted callback that logs that the data under
+// prefix is stale and is checked by an extra call beside the one in progress.
 func (n *Node) logStaleCheck(prefix string) func(age time.Duration, relayed, failing bool) {
 	return func(age time.Duration, relayed, failing bool) {
 		n.metrics.CountStale(prefix)
--- a/internal/node/homes.go
+++ b/internal/node/homes.go
@@ -96,12 +96,12 @@
 	if r.byKey == nil || r.state != state || len(r.byKey) >= maxCachedRankings {
 		r.state, r.byKey = state, make(map[string]T)
 	}
-	ranked, found := r.byKey[key]
+	value, found := r.byKey[key]
 	if !found {
-		ranked = compute()
-		r.byKey[key] = ranked
+		value = compute()
+		r.byKey[key] = value
 	}
-	return ranked
+	return value
 }
 
 // Homes of accounts in a large fleet.
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -19,23 +19,23 @@
 	// the time that remains are far longer than the interval at which a limit is confirmed.
 	limitLeaseTTL       = 5 * time.Minute
 	limitLeaseReuseTime = 2 * time.Minute
-	// limitSweepInterval is how often the limits of removed servers are dropped.
-	limitSweepInterval = 30 * time.Second
+	// limitPruneInterval is how often ended limits and those of removed servers are dropped.
+	limitPruneInterval = 30 * time.Second
 )
 
 // limitWriter writes to the store the rate limits that backend servers announced.
 type limitWriter struct {
-	node    *Node
-	lease   store.LeaseID
-	granted time.Time
+	node      *Node
+	lease     store.LeaseID
+	grantedAt time.Time
 }
 
 // publishLimits publishes to the other routers the rate limits that backend servers announced to
 // this one.
 func (n *Node) publishLimits(ctx context.Context) {
 	w := limitWriter{node: n}
-	sweep := time.NewTicker(limitSweepInterval)
-	defer sweep.Stop()
+	prune := time.NewTicker(limitPruneInterval)
+	defer prune.Stop()
 	for {
 		record, wait := n.limits.NextWrite(n.rankFor)
 		if record != nil {
@@ -49,7 +49,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-sweep.C:
+		case <-prune.C:
 			n.limits.Prune(n.registry.HasIncarnation)
 		case <-n.limits.Wake():
 		case <-due:
@@ -76,12 +76,12 @@
 }
 
 func (w *limitWriter) commit(ctx context.Context, record pacing.Record) error {
-	if w.lease == 0 || time.Since(w.granted) > limitLeaseReuseTime {
+	if w.lease == 0 || time.Since(w.grantedAt) > limitLeaseReuseTime {
 		lease, err := w.node.env.Store.GrantLease(ctx, limitLeaseTTL)
 		if err != nil {
 			return err
 		}
-		w.lease, w.granted = lease, time.Now()
+		w.lease, w.grantedAt = lease, time.Now()
 	}
 	value, err := record.Encode()
 	if err != nil {
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -20,8 +20,8 @@
 	log    *event.Log
 }
 
-// Limits on connections from callers. The idle time in the configuration is shorter than
-// idleTimeout: a router that closes a connection later than callers expect loses no requests.
+// Limits on connections from callers. idleTimeout is longer than the idle time that callers are
+// configured for: a router that closes a connection later than they expect loses no requests.
 const (
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 75 * time.Second
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -29,7 +29,7 @@
 	stale        *prometheus.CounterVec
 
 	mu     sync.Mutex
-	recent map[string]int // calls to the store since they were last logged
+	recent map[string]int // number of calls to the store since the last log entry, by kind and subject
 }
 
 // NewMetrics creates and registers the metrics.
@@ -76,7 +76,7 @@
 	m.retried.WithLabelValues(reason).Inc()
 }
 
-// Values of the label outcome of calls to the store.
+// Values of the label "outcome" of storeCalls.
 const (
 	outcomeAnswered = "answered"
 	outcomeFailed   = "failed"
@@ -110,8 +110,7 @@
 	m.stale.WithLabelValues(prefix).Inc()
 }
 
-// takeRecentCalls returns the calls to the store since the last takeRecentCalls and resets the
-// counts.
+// takeRecentCalls returns the counts of calls to the store and resets them.
 func (m *Metrics) takeRecentCalls() map[string]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -57,8 +57,8 @@
 	serversMaxWaitFraction    = 0.5
 	serversPauseFraction      = 0.1
 	serversCheckAfterFraction = 0.7
-	// minDrain bounds the rate of calls if the configured drain time is shorter or zero.
-	minDrain = 500 * time.Millisecond
+	// minDrainTime bounds the rate of calls if the configured drain time is shorter or zero.
+	minDrainTime = 500 * time.Millisecond
 	// serversBurst lets a router see at once that a few servers leave one after the other. If
 	// entries change continuously there is only one call per wait and pause.
 	serversBurst = 4
@@ -88,6 +88,7 @@
 	// Now is a clock that keeps running while the VM is suspended; nil means time.Now.
 	Now          func() time.Time
 	ConfigPrefix string
+	// IsConfig reports whether an item under ConfigPrefix is the configuration.
 	IsConfig     func(store.Item) bool
 	DecodeConfig func(store.Item) (*policy.Policy, error)
 	// EvacuatedDomain decodes the key, under ConfigPrefix, of an order to evacuate a failure
@@ -286,7 +287,7 @@
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
 	defer n.abortOnPanic(caller)
-	if n.refusing.Load() || n.stopping.Load() && !n.finishesInTime(r) {
+	if n.refusing.Load() || n.stopping.Load() && !n.acceptsWhileStopping(r) {
 		n.forward.Refuse(r, caller, forward.NewRefusal(forward.RouterStopping))
 		return
 	}
@@ -302,9 +303,10 @@
 	}
 }
 
-// finishesInTime reports whether a stopping router may still accept a request: within
-// acceptAllTime any request, later one whose timeout ends before the grants are returned.
-func (n *Node) finishesInTime(r *request.Request) bool {
+// acceptsWhileStopping reports whether a stopping router still accepts a request: within
+// acceptAllTime any request, after that only one whose timeout ends before the grants are
+// returned.
+func (n *Node) acceptsWhileStopping(r *request.Request) bool {
 	since := time.Since(time.UnixMilli(n.stopStartedAt.Load()))
 	if since < acceptAllTime {
 		return true
@@ -325,7 +327,8 @@
 	return 0
 }
 
-// Settings returns the settings in force.
+// Settings returns the settings passed to New, with the actual listen addresses once Listen has
+// returned. It does not include what Reload changed.
 func (n *Node) Settings() Settings {
 	return *n.settings
 }
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// handOverGrants hands the grants that could not be returned to another router.
+// handOverGrants transfers to another router the grants that could not be returned to the store.
 func (n *Node) handOverGrants() {
 	others := n.peerAddresses()
 	if len(others) == 0 {
