--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -35,11 +35,11 @@
 const settingsCheckInterval = 2 * time.Second
 
 // gcPercent lets the heap grow by half before a garbage collection: memory is scarcer than
-// processor time on entry VMs.
+// processor time on the VMs that run routers.
 const gcPercent = 50
 
-// memoryLimitFraction is the fraction of the process's memory above which garbage is
-// collected at any cost, because a process that exceeds its memory is killed.
+// memoryLimitFraction is the fraction of Settings.MemoryMB above which garbage is collected at
+// any cost, because a process that exceeds its memory limit is killed.
 const memoryLimitFraction = 0.7
 
 // hangups receives SIGHUP. It is registered before main starts, because a SIGHUP without a
@@ -84,7 +84,7 @@
 }
 
 func (p Program) run(settings *node.Settings, file string) error {
-	runtime.GOMAXPROCS(1) // an entry VM has a fraction of a core: more threads only cause context switches
+	runtime.GOMAXPROCS(1) // the VM gives a router a fraction of a core: more threads only cause context switches
 	debug.SetGCPercent(gcPercent)
 	if settings.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.MemoryMB) * (1 << 20)))
