--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -21,13 +21,13 @@
 	if len(body) == maxBufferedAnswer {
 		return t.relayUnbuffered(server, reply, body)
 	}
-	ownFailure := reply.Status >= http.StatusInternalServerError && reply.Status != http.StatusGatewayTimeout
-	if ownFailure && t.r.Route.Retryable() && t.acquireRetry("failed") {
+	serverError := reply.Status >= http.StatusInternalServerError && reply.Status != http.StatusGatewayTimeout
+	if serverError && t.r.Route.Retryable() && t.acquireRetry("failed") {
 		t.logFailure(server, "failed", errors.Errorf("status %d", reply.Status))
 		return retryGranted
 	}
 	server.RecordSuccess()
-	t.firstAt = time.Now()
+	t.firstByteAt = time.Now()
 	if reply.Status == http.StatusOK {
 		t.succeeded = true
 		t.setOutput(reply.OutputTokens)
@@ -39,8 +39,9 @@
 	return finished
 }
 
-// setOutput records the output tokens of an answer. If the server does not report them, all the
-// tokens that the request asked for are charged: charging less could spend more than was paid.
+// setOutput records the output tokens of an answer. If the server does not report them, the maximum
+// that the request asked for is charged: otherwise an account could consume more than it has paid
+// for.
 func (t *task) setOutput(output int) {
 	t.output = output
 	if output == upstream.OutputUnknown {
@@ -48,12 +49,13 @@
 	}
 }
 
-// relayUnbuffered relays an answer that is too long to be buffered; head is what was read of it.
-func (t *task) relayUnbuffered(server *fleet.Server, reply *upstream.Reply, head []byte) outcome {
-	t.headSent, t.firstAt = true, time.Now()
+// relayUnbuffered relays an answer that is too long to be buffered; buffered is the part already
+// read.
+func (t *task) relayUnbuffered(server *fleet.Server, reply *upstream.Reply, buffered []byte) outcome {
+	t.headSent, t.firstByteAt = true, time.Now()
 	t.setOutput(reply.OutputTokens)
 	t.caller.Begin(reply.Status, reply.Header, reply.Length)
-	part := head
+	part := buffered
 	buf := make([]byte, 16<<10)
 	for {
 		if err := t.caller.Write(part); err != nil {
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -21,7 +21,7 @@
 type outcome int
 
 const (
-	finished     outcome = iota // the caller got its final answer
+	finished     outcome = iota // the request was answered or given up
 	unreachable                 // nothing was sent
 	rejected                    // the server did not run the request
 	broken                      // the exchange broke off
@@ -33,7 +33,7 @@
 func (t *task) attempt(parent context.Context, choice balance.Choice) outcome {
 	server := choice.Server
 	t.tried[server.Incarnation] = true
-	a := &upstream.Attempt{Request: t.r, Server: server, ResumeAfter: t.lastEvent, Resume: t.hasEvent}
+	a := &upstream.Attempt{Request: t.r, Server: server, ResumeAfter: t.lastEventID, Resume: t.hasLastEventID}
 	if !t.deadline.IsZero() {
 		a.Timeout = time.Until(t.deadline)
 	}
@@ -103,7 +103,7 @@
 	return broken
 }
 
-// recordCrash counts that a server failed while it ran the request. Some requests crash every
+// recordCrash counts the failure of a server while it ran the request. Some requests crash every
 // server that begins to run them, and callers send them again.
 func (t *task) recordCrash() {
 	if retry.StartsQuarantine(t.f.Quarantine.RecordCrash(t.contentHash)) {
--- a/internal/forward/ends.go
+++ b/internal/forward/ends.go
@@ -16,8 +16,8 @@
 	return NoBackend // all eligible servers have been tried
 }
 
-// failureCause returns notRun, a cause that guarantees that the request has not run, only if that
-// is true, and BackendFailed otherwise.
+// failureCause returns BackendFailed if the request may have run, and otherwise notRun, a cause that
+// guarantees that it has not.
 func (t *task) failureCause(notRun Cause) Cause {
 	if t.mayHaveRun {
 		return BackendFailed
@@ -32,8 +32,8 @@
 	return OverdueUnsent
 }
 
-// giveUp refuses the request, or cuts its answer off if that has begun. It returns true, as the
-// result of step.
+// giveUp refuses the request, or aborts the answer if it has begun. It returns true, the result of
+// step for a finished task.
 func (t *task) giveUp(cause Cause) bool {
 	if !t.headSent {
 		t.f.refuse(t.r, t.caller, NewRefusal(cause), t.policy, t)
@@ -42,11 +42,12 @@
 	t.caller.Abort()
 	t.f.Metrics.Refused(cause)
 	t.f.Log.Emit(event.ResponseAborted, append(t.attrs(), slog.String(event.KeyCause, string(cause)),
-		slog.Int64("last_event", t.lastEvent), slog.String("last", t.lastFailure))...)
+		slog.Int64("last_event", t.lastEventID), slog.String("last", t.lastFailure))...)
 	return true
 }
 
-// abandon ends the task after the caller disconnected. It returns true, as the result of step.
+// abandon ends the task after the caller disconnected. It returns true, the result of step for a
+// finished task.
 func (t *task) abandon() bool {
 	t.caller.Abort()
 	t.f.Log.Emit(event.RequestAbandoned, append(t.attrs(), slog.Int("events", t.events))...)
@@ -54,12 +55,12 @@
 }
 
 func (t *task) recordServed(server *fleet.Server, status int) {
-	whole := time.Since(t.r.Arrived)
-	first := t.firstAt.Sub(t.r.Arrived)
-	t.f.Metrics.Served(first, whole)
+	total := time.Since(t.r.Arrived)
+	firstByte := t.firstByteAt.Sub(t.r.Arrived)
+	t.f.Metrics.Served(firstByte, total)
 	t.f.Log.Emit(event.RequestServed, append(t.attrs(), slog.String(event.KeyBackend, server.ID), slog.Int("status", status),
-		slog.Int64("first_ms", first.Milliseconds()), slog.Int64("reserved_ms", t.reserveTime.Milliseconds()),
-		slog.Int64("server_ms", t.firstAt.Sub(t.sentAt).Milliseconds()), slog.Int64("pause_ms", t.maxGap.Milliseconds()),
+		slog.Int64("first_ms", firstByte.Milliseconds()), slog.Int64("reserved_ms", t.reserveTime.Milliseconds()),
+		slog.Int64("server_ms", t.firstByteAt.Sub(t.sentAt).Milliseconds()), slog.Int64("pause_ms", t.maxGap.Milliseconds()),
 		slog.Int64("unread", int64(t.prefill)), slog.Int("events", t.events))...)
 }
 
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -12,7 +12,7 @@
 	"chicorytiller.example/chicorytiller/internal/upstream"
 )
 
-// streamBuffer is the size in bytes of the read buffer for a stream, enough for some events.
+// streamBuffer is the size in bytes of the read buffer for a stream, enough for several events.
 const streamBuffer = 2048
 
 // relayEvents relays a stream event by event. If the server breaks off in the middle of an
@@ -29,11 +29,11 @@
 			return t.handleBroken(watch, server, err)
 		}
 		watch.progress()
-		if e.HasID && t.hasEvent && e.ID <= t.lastEvent {
+		if e.HasID && t.hasLastEventID && e.ID <= t.lastEventID {
 			continue // already relayed from an earlier attempt
 		}
-		if e.HasID && t.hasEvent && e.ID != t.lastEvent+1 {
-			return t.handleBroken(watch, server, errors.Errorf("event %d follows event %d", e.ID, t.lastEvent))
+		if e.HasID && t.hasLastEventID && e.ID != t.lastEventID+1 {
+			return t.handleBroken(watch, server, errors.Errorf("event %d follows event %d", e.ID, t.lastEventID))
 		}
 		if err := t.relayEvent(reply, e); err != nil {
 			return callerGone
@@ -45,10 +45,10 @@
 	t.sendHead(reply)
 	t.recordGap(time.Now())
 	if e.HasID {
-		t.lastEvent, t.hasEvent = e.ID, true
+		t.lastEventID, t.hasLastEventID = e.ID, true
 	}
 	// In a stream with event IDs, events without one hold no tokens: an end marker, a summary.
-	if e.HasID || !t.hasEvent {
+	if e.HasID || !t.hasLastEventID {
 		t.events++
 	}
 	return t.caller.Write(e.Raw)
@@ -66,7 +66,7 @@
 	if t.headSent {
 		return
 	}
-	t.headSent, t.firstAt = true, time.Now()
+	t.headSent, t.firstByteAt = true, time.Now()
 	const unknown = -1 // another server may continue the stream
 	t.caller.Begin(reply.Status, reply.Header, unknown)
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -54,7 +54,7 @@
 
 // Metrics records the outcomes of requests.
 type Metrics interface {
-	Served(first, whole time.Duration)
+	Served(firstByte, total time.Duration)
 	Refused(cause Cause)
 	Retried(reason string)
 }
@@ -70,7 +70,7 @@
 	// servers.
 	ReportQuarantined func(contentHash uint64)
 	Chooser           *balance.Chooser
-	// RateLimits records the rate limits that servers state with their answers.
+	// RateLimits records the rate limits that servers announce with their answers.
 	RateLimits *pacing.Limits
 	// PriorityGate reserves the capacity of cold and rate-limited servers for urgent requests.
 	PriorityGate *pacing.PriorityGate
@@ -141,13 +141,14 @@
 	return ""
 }
 
-// checkServers returns a refusal if none of the service's servers can take the request, and nil if
-// one can. It is called before the request waits for its tokens.
+// checkServers returns a refusal if none of the service's servers can take the request or if it must
+// leave their capacity to more urgent requests, and nil otherwise. Serve calls it before it reserves
+// tokens, so that such a request does not wait for them.
 func (f *Forwarder) checkServers(r *request.Request) *Refusal {
-	out := f.Chooser.Availability(f.Servers(r.Service))
-	switch out.State {
+	availability := f.Chooser.Availability(f.Servers(r.Service))
+	switch availability.State {
 	case balance.Available:
-		if out.PacedOnly && f.PriorityGate.ShouldYield(r.Service, r.Priority()) {
+		if availability.PacedOnly && f.PriorityGate.ShouldYield(r.Service, r.Priority()) {
 			return &Refusal{Cause: BackendsLimited, RetryAfter: retryLater}
 		}
 	case balance.NoServers:
@@ -156,10 +157,10 @@
 		return &Refusal{Cause: BackendsEvacuated, RetryAfter: retryLater}
 	case balance.AllCold:
 		f.PriorityGate.RecordRefusal(r.Service, r.Priority())
-		return &Refusal{Cause: BackendsCold, RetryAfter: max(retrySoon, out.Delay)}
+		return &Refusal{Cause: BackendsCold, RetryAfter: max(retrySoon, availability.Delay)}
 	case balance.AllLimited:
 		f.PriorityGate.RecordRefusal(r.Service, r.Priority())
-		return &Refusal{Cause: BackendsLimited, RetryAfter: max(retrySoon, out.Delay)}
+		return &Refusal{Cause: BackendsLimited, RetryAfter: max(retrySoon, availability.Delay)}
 	}
 	return nil
 }
@@ -179,8 +180,8 @@
 }
 
 // reserveTimeout bounds the wait for tokens. A draw from the account takes a few milliseconds. At
-// the beginning of a store outage the grant becomes usable within about two seconds, and most
-// requests that wait for it are still answered in time.
+// the beginning of a store outage, up to about two seconds pass before this router can use its
+// grant; most requests that wait for it are still answered in time.
 const reserveTimeout = 1200 * time.Millisecond
 
 func (f *Forwarder) reserve(ctx context.Context, r *request.Request) (*escrow.Reservation, Cause) {
@@ -227,7 +228,7 @@
 	f.Log.Emit(event.RequestRefused, attrs...)
 }
 
-// hashContent returns a hash by which a repetition of a request by the same caller is recognized.
+// hashContent returns a hash that is the same for each repetition of a request by the same caller.
 func hashContent(r *request.Request) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{r.Method, r.Host, r.RequestURI, r.APIKey} {
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -47,13 +47,13 @@
 	Cause Cause
 	// RetryAfter is the time after which a retry may succeed; zero if unknown.
 	RetryAfter time.Duration
-	// Detail is an optional explanation for people.
+	// Detail is an optional human-readable explanation.
 	Detail string
 }
 
 // Values of Refusal.RetryAfter.
 const (
-	// retrySoon is for rejections: another server or router may be free at once.
+	// retrySoon is for causes that may end at once or not apply at another server or router.
 	retrySoon = 250 * time.Millisecond
 	// retryLater is for causes that end with a store call or the restart of a process.
 	retryLater = 800 * time.Millisecond
--- a/internal/forward/task.go
+++ b/internal/forward/task.go
@@ -47,25 +47,25 @@
 	lastEventAt time.Time     // time of the last event relayed
 	maxGap      time.Duration // longest time between two events
 
-	headSent  bool // status and header were relayed, without buffering the body
-	firstAt   time.Time
-	lastEvent int64
-	hasEvent  bool
-	events    int
-	output    int  // output tokens of an answer, except those of events
-	succeeded bool // a buffered answer with status 200 was relayed
+	headSent       bool // status and header were relayed, and the body follows in parts
+	firstByteAt    time.Time
+	lastEventID    int64 // of the last event relayed, or received by the caller before it resumed
+	hasLastEventID bool
+	events         int  // number of events relayed that hold tokens
+	output         int  // output tokens of an answer, except those of events
+	succeeded      bool // a buffered answer with status 200 was relayed
 }
 
 func newTask(f *Forwarder, p *policy.Policy, r *request.Request, caller Caller) *task {
 	t := &task{f: f, policy: p, r: r, caller: caller, contentHash: hashContent(r), tried: make(map[string]bool)}
-	wait := r.Timeout
-	if r.Route.Timeout > 0 && (wait == 0 || r.Route.Timeout < wait) {
-		wait = r.Route.Timeout
+	timeout := r.Timeout
+	if r.Route.Timeout > 0 && (timeout == 0 || r.Route.Timeout < timeout) {
+		timeout = r.Route.Timeout
 	}
-	if wait > 0 {
-		t.deadline = r.Arrived.Add(wait)
+	if timeout > 0 {
+		t.deadline = r.Arrived.Add(timeout)
 	}
-	t.lastEvent, t.hasEvent = r.ResumeAfter, r.HasResume
+	t.lastEventID, t.hasLastEventID = r.ResumeAfter, r.HasResume
 	return t
 }
 
@@ -76,11 +76,11 @@
 	if !t.headSent && !t.succeeded {
 		return 0
 	}
-	out := t.output
+	output := t.output
 	if s := t.policy.Services[t.r.Service]; s != nil {
-		out += t.events * s.TokensPerEvent
+		output += t.events * s.TokensPerEvent
 	}
-	return int64(t.r.PromptTokens) + int64(min(out, t.r.MaxOutputTokens))
+	return int64(t.r.PromptTokens) + int64(min(output, t.r.MaxOutputTokens))
 }
 
 // run makes attempts until the request is answered or given up.
--- a/internal/forward/watchdog.go
+++ b/internal/forward/watchdog.go
@@ -8,14 +8,14 @@
 
 // Timeouts of a silent server, after which the request is sent to another one.
 const (
-	// startFactor times the route's goal is how long a server may take to begin its answer.
-	// A healthy server with a queue is late by about the goal, one that hangs never answers,
-	// and callers disconnect at four times the goal.
+	// startFactor times the route's latency goal is how long a server may take to send the first
+	// event of a stream, or all of a buffered answer. A healthy server with a queue is late by
+	// about the goal, one that hangs never answers, and callers disconnect at four times the goal.
 	startFactor = 2
 	// gapFactor times the route's gap goal is how long a stream may pause between events.
 	gapFactor = 2.5
-	// minStartTimeout and minGapTimeout are lower bounds of both, used also where the route
-	// states no goal.
+	// minStartTimeout and minGapTimeout are lower bounds of these timeouts, used also where the
+	// route states no goal.
 	minStartTimeout = 400 * time.Millisecond
 	minGapTimeout   = 1 * time.Second
 )
