--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -117,8 +117,8 @@
 type permitPacer map[*fleet.Server]int
 
 func (p permitPacer) Paced(s *fleet.Server) bool {
-	_, cold := p[s]
-	return cold
+	_, paced := p[s]
+	return paced
 }
 
 func (p permitPacer) CanAcquire(s *fleet.Server) bool { return p[s] > 0 }
--- a/internal/balance/obstacle.go
+++ b/internal/balance/obstacle.go
@@ -6,8 +6,7 @@
 	"chicorytiller.example/chicorytiller/internal/fleet"
 )
 
-// State tells whether a service's servers can take a request, whatever the request, and if not,
-// why.
+// State tells whether any of a service's servers can take a request, and if not, why.
 type State int
 
 const (
@@ -20,7 +19,7 @@
 	// AllCold means that all servers that are not evacuated are cold and that this router may
 	// not send them another request now.
 	AllCold
-	// AllLimited is as AllCold, but at least one of the servers announces a rate limit and
+	// AllLimited is like AllCold, but at least one of the servers announces a rate limit and
 	// is not cold.
 	AllLimited
 )
--- a/internal/fleet/evacuations_test.go
+++ b/internal/fleet/evacuations_test.go
@@ -31,8 +31,8 @@
 	e := &evacuationTest{C: qt.New(t)}
 	e.registry, e.clock = newRegistry()
 	e.registry.SetWarmUp(func(string) time.Duration { return testWarmUp })
-	domainOf := func(key string) (string, bool) { return strings.CutPrefix(key, "orders/evacuate/") }
-	e.Evacuations = NewEvacuations(domainOf, e.registry, event.New(&e.log, "p", slog.LevelInfo, nil))
+	parseKey := func(key string) (string, bool) { return strings.CutPrefix(key, "orders/evacuate/") }
+	e.Evacuations = NewEvacuations(parseKey, e.registry, event.New(&e.log, "p", slog.LevelInfo, nil))
 	e.put(1, "east", 0)
 	e.put(2, "west", 0)
 	return e
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -33,19 +33,19 @@
 	Slots   int
 }
 
-// LimitState says whether an answer states a rate limit.
+// LimitState says whether an answer announces a rate limit.
 type LimitState int
 
 const (
-	// LimitAbsent means that the answer states no limit.
+	// LimitAbsent means that the answer announces no limit.
 	LimitAbsent LimitState = iota
-	// LimitPresent means that the answer states a valid limit.
+	// LimitPresent means that the answer announces a valid limit.
 	LimitPresent
-	// LimitInvalid means that the stated limit is not a valid rate and is ignored.
+	// LimitInvalid means that the announced limit is not a valid rate and is ignored.
 	LimitInvalid
 )
 
-// RateLimit is the limit that an answer of a backend server states for requests from all
+// RateLimit is the limit that an answer of a backend server announces for requests from all
 // routers together.
 type RateLimit struct {
 	State LimitState
--- a/internal/pacing/limiter.go
+++ b/internal/pacing/limiter.go
@@ -20,8 +20,8 @@
 	rampDuration = 3500 * time.Millisecond
 	rampFraction = 0.5
 	// The number of senders to a rate-limited server is at most minSenders plus sendersPerRPS
-	// for each request per second of the limit. Each sender may have one request accumulated,
-	// and a server tolerates five requests beyond 1.5 times its limit.
+	// for each request per second of the limit. Each sender's bucket may hold one token, and a
+	// server tolerates five requests beyond 1.5 times its limit.
 	minSenders    = 3
 	sendersPerRPS = 0.25
 	// minSenderRate is the minimum rate of each sender, in requests per second, if there is
@@ -159,22 +159,22 @@
 
 // rank returns this router's rank, cached for rankCacheTTL. l.mu must be held.
 func (l *Limiter) rank(incarnation string, now time.Time) SenderRank {
-	known, found := l.ranks[incarnation]
-	if found && now.Sub(known.fetchedAt) < rankCacheTTL {
-		return known.SenderRank
+	cached, found := l.ranks[incarnation]
+	if found && now.Sub(cached.fetchedAt) < rankCacheTTL {
+		return cached.SenderRank
 	}
 	if l.ranks == nil || len(l.ranks) >= maxTrackedServers {
 		l.ranks = make(map[string]cachedRank)
 	}
-	known = cachedRank{SenderRank: l.SenderRank(incarnation), fetchedAt: now}
-	l.ranks[incarnation] = known
-	return known.SenderRank
+	cached = cachedRank{SenderRank: l.SenderRank(incarnation), fetchedAt: now}
+	l.ranks[incarnation] = cached
+	return cached.SenderRank
 }
 
 // senders returns how many routers send to a server with a limit, each an equal share of it.
 // With more senders, more callers reach a router that may send. The number doesn't grow with
-// the fleet, since each sender may have a request accumulated and together these must stay
-// within what a server tolerates beyond its limit.
+// the fleet, since each sender's bucket may hold one token, and the requests on all these tokens
+// together must stay within what a server tolerates beyond its limit.
 func senders(perSecond float64) int {
 	maxSenders := minSenders + sendersPerRPS*perSecond
 	return max(1, int(math.Floor(min(maxSenders, perSecond/minSenderRate))))
--- a/internal/pacing/limits.go
+++ b/internal/pacing/limits.go
@@ -15,10 +15,9 @@
 )
 
 const (
-	// endGracePeriod is how long after the limit was last reported or recorded a request must
-	// have been sent for a response without a limit to end it. Otherwise the limit would end
-	// with a response that was in flight when it began, or when the server omits it from
-	// some responses.
+	// endGracePeriod is the time after a limit's last report or record in which it can't end: a
+	// response without a limit ends it only if the request was sent later. Otherwise a response
+	// that was in flight when the limit began would end it, or one that omits it by chance.
 	endGracePeriod = 2 * time.Second
 	// maxRecordLag is the maximum time until a record has reached all routers. A report from
 	// the server itself within that time may be newer than the record and takes precedence.
@@ -27,8 +26,9 @@
 	rateTolerance = 0.1
 	// maxTrackedServers bounds the memory used, at a few hundred bytes per server.
 	maxTrackedServers = 8192
-	// unregisteredTTL is how long the limit of an unregistered server is kept.
-	unregisteredTTL = time.Minute
+	// staleTTL is how long an entry is kept after its last update once its limit has ended or its
+	// server is no longer registered.
+	staleTTL = time.Minute
 )
 
 // Limit is a server's rate limit as this router knows it.
@@ -48,15 +48,15 @@
 	now func() time.Time
 
 	mu     sync.Mutex
-	limits map[string]*limit // by incarnation of the server
+	limits map[string]*entry // by incarnation of the server
 	// inForce holds the limits in force by incarnation of the server. The map is replaced, never
 	// changed, so that Lookup needs no lock.
 	inForce atomic.Pointer[map[string]Limit]
 	wake    chan struct{}
 }
 
-// limit is the state of one server's rate limit.
-type limit struct {
+// entry is what this router knows of one server's rate limit.
+type entry struct {
 	incarnation string
 	perSecond   float64
 	// ended is set when the limit has ended. The entry is kept so that an older record can't
@@ -79,7 +79,7 @@
 	if now == nil {
 		now = time.Now
 	}
-	l := &Limits{log: log, now: now, limits: make(map[string]*limit), wake: make(chan struct{}, 1)}
+	l := &Limits{log: log, now: now, limits: make(map[string]*entry), wake: make(chan struct{}, 1)}
 	l.publish()
 	return l
 }
@@ -107,22 +107,22 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if rateLimit.State == fleet.LimitPresent {
-		l.reported(s, rateLimit.PerSecond)
+		l.handleLimit(s, rateLimit.PerSecond)
 	} else {
-		l.reportedNone(s, sent)
+		l.handleNoLimit(s, sent)
 	}
 	l.publish()
 	l.notify()
 }
 
-// reported handles a response that announces a limit.
-func (l *Limits) reported(s *fleet.Server, perSecond float64) {
+// handleLimit handles a response that announces a limit.
+func (l *Limits) handleLimit(s *fleet.Server, perSecond float64) {
 	known := l.limits[s.Incarnation]
 	if known == nil && len(l.limits) >= maxTrackedServers {
 		return
 	}
 	if known == nil {
-		known = &limit{incarnation: s.Incarnation, ended: true}
+		known = &entry{incarnation: s.Incarnation, ended: true}
 		l.limits[s.Incarnation] = known
 	}
 	if known.ended || !ratesEqual(known.perSecond, perSecond) {
@@ -132,8 +132,8 @@
 	known.ended, known.endedLocally = false, false
 }
 
-// reportedNone handles a response without a limit.
-func (l *Limits) reportedNone(s *fleet.Server, sent time.Time) {
+// handleNoLimit handles a response without a limit.
+func (l *Limits) handleNoLimit(s *fleet.Server, sent time.Time) {
 	known := l.limits[s.Incarnation]
 	if known == nil || known.ended {
 		return
@@ -175,7 +175,7 @@
 		return
 	}
 	if known == nil {
-		known = &limit{incarnation: record.Incarnation, ended: true}
+		known = &entry{incarnation: record.Incarnation, ended: true}
 		l.limits[record.Incarnation] = known
 	}
 	now := l.now()
@@ -211,14 +211,14 @@
 	return items
 }
 
-// Prune removes entries that are older than unregisteredTTL, if their limit has ended or their
-// server is no longer registered.
+// Prune removes entries not updated within staleTTL, if their limit has ended or their server is no
+// longer registered.
 func (l *Limits) Prune(registered func(incarnation string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	expired := func(at time.Time) bool { return now.Sub(at) > unregisteredTTL }
-	maps.DeleteFunc(l.limits, func(incarnation string, known *limit) bool {
+	expired := func(at time.Time) bool { return now.Sub(at) > staleTTL }
+	maps.DeleteFunc(l.limits, func(incarnation string, known *entry) bool {
 		return expired(known.reported) && expired(known.recorded) && (known.ended || !registered(incarnation))
 	})
 	l.publish()
@@ -237,11 +237,11 @@
 
 // recordedAt returns when this router learned of the record of the limit in force, or zero if
 // there is no such record.
-func (k *limit) recordedAt() time.Time {
-	if k.record.Ended {
+func (e *entry) recordedAt() time.Time {
+	if e.record.Ended {
 		return time.Time{}
 	}
-	return k.recorded
+	return e.recorded
 }
 
 // incarnations returns the tracked servers in sorted order.
--- a/internal/pacing/limits_test.go
+++ b/internal/pacing/limits_test.go
@@ -181,7 +181,7 @@
 	prune := func() { f.limits.Prune(func(string) bool { return registered }) }
 	prune()
 	f.Assert(f.limits.Count(), qt.Equals, 1)
-	f.advance(unregisteredTTL + time.Second)
+	f.advance(staleTTL + time.Second)
 	registered = true
 	prune()
 	f.Assert(f.limits.Count(), qt.Equals, 1)
--- a/internal/pacing/pending.go
+++ b/internal/pacing/pending.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Every router that a server reports a limit to wants to record it. To avoid duplicate writes
-// each waits in proportion to its rank, and skips the write if another router's record arrives
-// meanwhile.
+// Every router to which a server announces a limit has to get it recorded. To avoid duplicate
+// writes, each waits in proportion to its position in rank, and skips the write if another router's
+// record arrives meanwhile.
 const (
 	// writeStagger is the additional wait per position in rank, up to maxWriteDelay.
 	writeStagger  = 100 * time.Millisecond
@@ -66,26 +66,26 @@
 }
 
 // due returns when this router has to write the record, and whether a write is needed at all.
-func (k *limit) due(now time.Time, senderRank func(incarnation string) SenderRank) (due time.Time, needed bool) {
-	if !k.needsWrite(now) {
-		k.pending = pending{}
-		if k.needsRefresh() {
-			return k.recorded.Add(refreshInterval), true
+func (e *entry) due(now time.Time, senderRank func(incarnation string) SenderRank) (due time.Time, needed bool) {
+	if !e.needsWrite(now) {
+		e.pending = pending{}
+		if e.needsRefresh() {
+			return e.recorded.Add(refreshInterval), true
 		}
 		return time.Time{}, false
 	}
-	rank := senderRank(k.incarnation)
+	rank := senderRank(e.incarnation)
 	if !rank.Valid {
-		k.pending.since = now
+		e.pending.since = now
 		return now.Add(rankPollInterval), true
 	}
-	if k.pending.since.IsZero() {
-		k.pending.since = now
+	if e.pending.since.IsZero() {
+		e.pending.since = now
 	}
-	due = k.pending.since.Add(min(time.Duration(rank.Position)*writeStagger, maxWriteDelay))
-	if k.pending.attempts > 0 {
-		retry := min(initialRetryDelay<<min(k.pending.attempts-1, 10), maxRetryDelay)
-		if retryAt := k.pending.lastAttempt.Add(retry); retryAt.After(due) {
+	due = e.pending.since.Add(min(time.Duration(rank.Position)*writeStagger, maxWriteDelay))
+	if e.pending.attempts > 0 {
+		retry := min(initialRetryDelay<<min(e.pending.attempts-1, 10), maxRetryDelay)
+		if retryAt := e.pending.lastAttempt.Add(retry); retryAt.After(due) {
 			due = retryAt
 		}
 	}
@@ -93,20 +93,20 @@
 }
 
 // needsWrite reports whether the record is missing, wrong or due for a refresh.
-func (k *limit) needsWrite(now time.Time) bool {
-	recorded := !k.recorded.IsZero()
-	if k.ended {
-		return k.endedLocally && recorded && !k.record.Ended
+func (e *entry) needsWrite(now time.Time) bool {
+	recorded := !e.recorded.IsZero()
+	if e.ended {
+		return e.endedLocally && recorded && !e.record.Ended
 	}
-	if k.reported.IsZero() {
+	if e.reported.IsZero() {
 		return false
 	}
-	return !recorded || k.record.Ended || !ratesEqual(k.record.PerSecond, k.perSecond) ||
-		k.needsRefresh() && now.Sub(k.recorded) >= refreshInterval
+	return !recorded || e.record.Ended || !ratesEqual(e.record.PerSecond, e.perSecond) ||
+		e.needsRefresh() && now.Sub(e.recorded) >= refreshInterval
 }
 
 // needsRefresh reports whether the server announced the limit to this router again after it was
 // recorded.
-func (k *limit) needsRefresh() bool {
-	return !k.ended && !k.recorded.IsZero() && k.reported.After(k.recorded)
+func (e *entry) needsRefresh() bool {
+	return !e.ended && !e.recorded.IsZero() && e.reported.After(e.recorded)
 }
--- a/internal/pacing/world_test.go
+++ b/internal/pacing/world_test.go
@@ -20,7 +20,7 @@
 	testWindow     = 4 * time.Second
 	testBindDelay  = 3 * time.Second
 	testLearnDelay = 500 * time.Millisecond
-	testStep       = 10 * time.Millisecond
+	testStep       = 10 * time.Millisecond // of virtual time
 	// maxViewLag is the maximum age of a router's view of the membership and of the records.
 	maxViewLag = 3 * time.Second
 	// memberTTL is the time after which a killed router leaves the membership.
@@ -44,7 +44,8 @@
 	arrivals    []simArrival
 	// sendProbability is the probability that a router has a request to send in a step.
 	sendProbability float64
-	// storeDown: no record is written or delivered, and no rank is valid.
+	// storeDown is set during a store outage: no record is written or delivered, and no rank is
+	// valid.
 	storeDown bool
 }
 
@@ -203,14 +204,14 @@
 
 func (sim *simulation) deliverResponses() {
 	inFlight := sim.responses[:0]
-	for _, a := range sim.responses {
+	for _, response := range sim.responses {
 		switch {
-		case a.at.After(sim.now):
-			inFlight = append(inFlight, a)
-		case a.process == a.router.limits && a.router.alive:
-			a.process.ObserveResponse(sim.server, a.rateLimit, a.sent)
-			if a.rateLimit.State == fleet.LimitPresent && !a.sent.Before(sim.limitSince) && a.router.informed.IsZero() {
-				a.router.informed = sim.now
+		case response.at.After(sim.now):
+			inFlight = append(inFlight, response)
+		case response.process == response.router.limits && response.router.alive:
+			response.process.ObserveResponse(sim.server, response.rateLimit, response.sent)
+			if response.rateLimit.State == fleet.LimitPresent && !response.sent.Before(sim.limitSince) && response.router.informed.IsZero() {
+				response.router.informed = sim.now
 			}
 		}
 	}
--- a/internal/pacing/yield.go
+++ b/internal/pacing/yield.go
@@ -9,8 +9,8 @@
 // are as urgent as the refused one.
 const yieldDuration = time.Second
 
-// urgencyLevels is the number of urgency levels; 0 is the most urgent.
-const urgencyLevels = 10
+// priorityLevels is the number of priorities; 0 is the most urgent.
+const priorityLevels = 10
 
 // PriorityGate reserves the capacity of a service whose servers are all paced for its more
 // urgent requests. Without it the callers that retry most often would take the capacity. It is
@@ -19,25 +19,25 @@
 	Now func() time.Time
 
 	mu          sync.Mutex
-	lastRefused map[string]*[urgencyLevels]time.Time // by service and urgency level
+	lastRefused map[string]*[priorityLevels]time.Time // by service and priority
 }
 
 // RecordRefusal records that a request was refused because no server had capacity.
-func (g *PriorityGate) RecordRefusal(service string, urgency int) {
+func (g *PriorityGate) RecordRefusal(service string, priority int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.lastRefused == nil {
-		g.lastRefused = make(map[string]*[urgencyLevels]time.Time)
+		g.lastRefused = make(map[string]*[priorityLevels]time.Time)
 	}
 	if g.lastRefused[service] == nil {
-		g.lastRefused[service] = &[urgencyLevels]time.Time{}
+		g.lastRefused[service] = &[priorityLevels]time.Time{}
 	}
-	g.lastRefused[service][urgencyLevel(urgency)] = g.Now()
+	g.lastRefused[service][priorityLevel(priority)] = g.Now()
 }
 
-// ShouldYield reports whether a request must leave the capacity to more urgent ones, of which
-// one was refused within yieldDuration.
-func (g *PriorityGate) ShouldYield(service string, urgency int) bool {
+// ShouldYield reports whether a request must leave the capacity to more urgent requests, because
+// one of them was refused within the last yieldDuration.
+func (g *PriorityGate) ShouldYield(service string, priority int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	lastRefused := g.lastRefused[service]
@@ -45,7 +45,7 @@
 		return false
 	}
 	now := g.Now()
-	for _, at := range lastRefused[:urgencyLevel(urgency)] {
+	for _, at := range lastRefused[:priorityLevel(priority)] {
 		if !at.IsZero() && now.Sub(at) < yieldDuration {
 			return true
 		}
@@ -53,6 +53,6 @@
 	return false
 }
 
-func urgencyLevel(urgency int) int {
-	return min(max(urgency, 0), urgencyLevels-1)
+func priorityLevel(priority int) int {
+	return min(max(priority, 0), priorityLevels-1)
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -37,7 +37,7 @@
 	Prefix      string
 	Kind        Kind
 	Timeout     time.Duration // upper bound of the time that a caller may wait
-	LatencyGoal time.Duration // latency up to which an answer has its full value
+	LatencyGoal time.Duration // target latency; a later answer is worth less to the caller
 	GapGoal     time.Duration // longest pause between two events of a stream that is still acceptable
 	Priority    int           // 0 is the most urgent
 	Targets     []Target
