--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -141,9 +141,9 @@
 	qt.Assert(t, ids(r), qt.DeepEquals, []string{"a"})
 }
 
-// startedItem is the entry of a server process that started at the Unix time born, in milliseconds.
-func startedItem(id string, revision store.Revision, born int64, draining bool) store.Item {
-	value, err := json.Marshal(Entry{ID: id, Service: "engines", Address: "10.0.0.1:80", StartUnixMilli: born, Draining: draining})
+// startedItem is the entry of a server process that started at startUnixMilli.
+func startedItem(id string, revision store.Revision, startUnixMilli int64, draining bool) store.Item {
+	value, err := json.Marshal(Entry{ID: id, Service: "engines", Address: "10.0.0.1:80", StartUnixMilli: startUnixMilli, Draining: draining})
 	if err != nil {
 		panic(err)
 	}
--- a/internal/idempotency/guard.go
+++ b/internal/idempotency/guard.go
@@ -197,7 +197,7 @@
 // mayRunAgain reports whether a repeat may run: the request certainly did not run, or it may run
 // more than once and did not produce a complete answer.
 func mayRunAgain(r *request.Request, recorded *recorder) bool {
-	if recorded.refused != nil && recorded.refused.Cause.NotRun() {
+	if recorded.refusal != nil && recorded.refusal.Cause.NotRun() {
 		return true
 	}
 	return recorded.outcome() == outcomeUnknown && r.Route != nil && r.Route.Retryable()
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -27,8 +27,8 @@
 // record is the stored form of a claim.
 type record struct {
 	State   state       `json:"state"`
-	Request string      `json:"request"` // id of the request that made the claim
-	Hash    string      `json:"hash"`    // hash of that request
+	Request string      `json:"request"` // ID of the request that made the claim
+	Hash    string      `json:"hash"`    // RequestHash of that request
 	Status  int         `json:"status,omitempty"`
 	Header  http.Header `json:"header,omitempty"`
 	Body    []byte      `json:"body,omitempty"`
--- a/internal/idempotency/recorder.go
+++ b/internal/idempotency/recorder.go
@@ -14,7 +14,7 @@
 type recorder struct {
 	caller forward.Caller
 
-	refused *forward.Refusal
+	refusal *forward.Refusal
 	status  int
 	header  http.Header
 	body    []byte
@@ -26,7 +26,7 @@
 
 // Refuse implements forward.Caller.
 func (r *recorder) Refuse(refusal forward.Refusal) {
-	r.refused = &refusal
+	r.refusal = &refusal
 	r.caller.Refuse(refusal)
 }
 
@@ -69,7 +69,7 @@
 // outcome returns the state of the claim after the request.
 func (r *recorder) outcome() state {
 	switch {
-	case r.refused != nil || r.aborted || r.status == 0:
+	case r.refusal != nil || r.aborted || r.status == 0:
 		return outcomeUnknown
 	case r.tooLong:
 		return answerTooLong
--- a/internal/pacing/limits.go
+++ b/internal/pacing/limits.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// endGracePeriod is the time after a limit's last report or record in which it can't end: a
-	// response without a limit ends it only if the request was sent later. Otherwise a response
-	// that was in flight when the limit began would end it, or one that omits it by chance.
+	// A response without a limit ends a limit only if its request was sent at least endGracePeriod
+	// after the limit was last reported or recorded. Otherwise a response that was in flight when
+	// the limit began would end it, or one of several from which the server omits it.
 	endGracePeriod = 2 * time.Second
 	// maxRecordLag is the maximum time until a record has reached all routers. A report from
 	// the server itself within that time may be newer than the record and takes precedence.
--- a/internal/retry/quarantine.go
+++ b/internal/retry/quarantine.go
@@ -87,6 +87,8 @@
 	return crashes == crashThreshold
 }
 
+// evictOldest makes room for another suspect: it removes the one with the oldest crash if there are
+// maxSuspects.
 func (q *Quarantine) evictOldest(now time.Time) {
 	if len(q.suspects) < maxSuspects {
 		return
