--- a/internal/node/homes.go
+++ b/internal/node/homes.go
@@ -13,8 +13,8 @@
 )
 
 // homeAddress returns the address of the router that holds an account's grant, or "" if that is
-// this router. Rendezvous hashing moves few accounts when a router joins or leaves. A stopping
-// router is home of no account: it hands over its grants while it still serves.
+// this router or there is none. Rendezvous hashing moves few accounts when a router joins or
+// leaves. A stopping router is home of no account: it hands over its grants while it still serves.
 func (n *Node) homeAddress(account string) string {
 	holders := n.holderAddresses(account)
 	if len(holders) == 0 {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -16,7 +16,7 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Metrics are the Prometheus metrics of one router. It implements forward.Metrics.
+// Metrics holds the Prometheus metrics of one router. It implements forward.Metrics.
 type Metrics struct {
 	registry     *prometheus.Registry
 	firstByte    prometheus.Histogram
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,15 +42,15 @@
 )
 
 // Timing of the followers. Each call to the store costs money: while nothing changes, a follower
-// makes one call per wait and pause. The checks, not the watches, bound the age of the data: see
+// makes one call per MaxWait + Pause. The checks, not the watches, bound the age of the data: see
 // store.Follower.
 const (
-	// configMaxWait and configPause confirm the configuration every 1.2 s. The pause keeps
-	// a burst of versions from causing a burst of calls.
+	// configMaxWait and configPause add up to 1.2 s, the interval at which the configuration is
+	// confirmed. The pause keeps a burst of versions from causing a burst of calls.
 	configMaxWait = 1150 * time.Millisecond
 	configPause   = 50 * time.Millisecond
-	// A version must be in force within two seconds. configCheckAfter leaves 0.4 s of them for a
-	// router that follows another one, for its second check and for slow links.
+	// A new configuration must be in force within two seconds. configCheckAfter leaves 0.4 s of
+	// them for a router that follows another one, for its second check and for slow links.
 	configCheckAfter = 1400 * time.Millisecond
 	// Timing of the follower of backend servers, as fractions of Settings.DrainTime, the time for
 	// which a leaving server keeps serving.
@@ -60,7 +60,7 @@
 	// minDrainTime bounds the rate of calls if the configured drain time is shorter or zero.
 	minDrainTime = 500 * time.Millisecond
 	// serversBurst lets a router see at once that a few servers leave one after the other. If
-	// entries change continuously there is only one call per wait and pause.
+	// entries change continuously there is only one call per MaxWait + Pause.
 	serversBurst = 4
 
 	// fleetMaxWait suits rare changes, fleetPause bursts: after an outage every router
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -18,8 +18,8 @@
 // follow the store readers. The calls to the store thus grow with the number of failure domains
 // and not with the number of routers. The store readers are computed from the list of routers
 // alone, so no agreement protocol is needed. Routers whose lists differ for a while only make some
-// extra calls: a router that does not follow the store itself answers so, and whoever asked it
-// turns to the store.
+// extra calls: a router that does not follow the store itself says so in its answer, and the router
+// that asked turns to the store.
 
 // routersPerStoreReader is the number of routers in a failure domain per store reader. Each
 // follower costs a store reader about six small calls per second, a thousandth of a core.
@@ -51,8 +51,8 @@
 // relay reads from the store readers of this router's failure domain. It implements store.Relay.
 type relay struct {
 	node *Node
-	// maxWait is how long another router may hold back its answer. It delays, by that time and a few
-	// round trips, the detection of a router that froze or lost power.
+	// maxWait is how long another router may hold back its answer. A router that froze or lost power
+	// is detected only after this time and a few round trips.
 	maxWait time.Duration
 }
 
