--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -22,27 +22,27 @@
 	useStore    bool
 	burstTokens float64 // watches that may start after Pause only; see Follower.Burst
 	started     time.Time
-	// transfer is the last call; nil: none.
-	transfer *transfer
+	// call is the last one that was started; nil: none.
+	call *pendingCall
 }
 
 // checks is the state of the additional calls to the store that are made while the data is
 // stale, in parallel with the regular call.
 type checks struct {
 	next      time.Time
-	lastStart time.Time   // start of the last check
-	period    int         // number of the stale period; results of earlier periods are ignored
-	calls     []*transfer // checks that may be under way, oldest first
-	count     int         // checks started in this period
+	lastStart time.Time      // start of the last check
+	period    int            // number of the stale period; results of earlier periods are ignored
+	calls     []*pendingCall // checks that may be under way, oldest first
+	count     int            // checks started in this period
 }
 
 // cancelArriving cancels the checks whose answers have begun to arrive; another answer was
 // complete first. The others go on, since they still show whether the store answers them.
 func (c *checks) cancelArriving() {
-	c.calls = slices.DeleteFunc(c.calls, func(t *transfer) bool {
-		arrived := t.lastPart.Load() != nil
+	c.calls = slices.DeleteFunc(c.calls, func(p *pendingCall) bool {
+		arrived := p.lastPart.Load() != nil
 		if arrived {
-			t.cancel()
+			p.cancel()
 		}
 		return arrived
 	})
@@ -54,7 +54,7 @@
 	// a new connection and a call take four of those delays. With a shorter timeout no check
 	// succeeded on such a link, and a new configuration was not seen for five seconds.
 	checkTimeout = 2400 * time.Millisecond
-	// maxChecks limits the checks under way to those that start within checkTimeout with the
+	// maxChecks limits the checks under way to those that start within checkTimeout at the
 	// intervals of a Backoff. A new check replaces the oldest one.
 	maxChecks = 6
 	// relayedCheckDelay is by how much a router that follows a store reader checks later than
@@ -94,7 +94,7 @@
 	probe     *Probe // of checks only
 	started   time.Time
 	ended     time.Time
-	abandoned bool     // ended by this router
+	abandoned bool     // cancelled or timed out by this router
 	after     Revision // the follower's revision when the call started
 	snapshot  *Snapshot
 	changes   *Changes
@@ -115,7 +115,7 @@
 		return
 	}
 	f.regular.busy, f.regular.started = true, now
-	f.regular.transfer = f.call(ctx, calls, callResult{kind: kind, started: now, after: f.at}, f.regularQuery(kind, now), !f.synced)
+	f.regular.call = f.call(ctx, calls, callResult{kind: kind, started: now, after: f.at}, f.regularQuery(kind, now), !f.synced)
 }
 
 func (f *Follower) startCheck(ctx context.Context, calls *conc.WaitGroup, now time.Time) {
@@ -151,9 +151,9 @@
 }
 
 // nextCheck reports whether the next check reads everything or only the changes, and whether it is
-// due. The two kinds alternate: over a congested link 50 KB take too long, and a router that came back
-// from an outage had no answer for five seconds. No check is due while answers of both kinds are
-// arriving: they share the link, and further calls would keep a large one from ever completing.
+// due. The two kinds alternate: with full reads only, a router on a congested link had no answer for
+// five seconds after an outage, because 50 KB took too long. No check is due while answers of both
+// kinds are arriving: they share the link, and further calls would keep a large one from completing.
 func (f *Follower) nextCheck(now time.Time) (full, due bool) {
 	full = f.checks.count%2 == 0 || f.at == 0
 	if !f.arriving(full, now) {
@@ -165,8 +165,8 @@
 // arriving reports whether an answer of the store is arriving, either to a read of everything or to
 // one of the changes only.
 func (f *Follower) arriving(full bool, now time.Time) bool {
-	arriving := func(t *transfer) bool { return t.full == full && t.arriving(now) }
-	regular := f.regular.busy && f.regular.transfer != nil && arriving(f.regular.transfer)
+	arriving := func(p *pendingCall) bool { return p.full == full && p.arriving(now) }
+	regular := f.regular.busy && f.regular.call != nil && arriving(f.regular.call)
 	return regular || slices.ContainsFunc(f.checks.calls, arriving)
 }
 
@@ -191,12 +191,12 @@
 
 // call runs a query in a new goroutine, which sends the result to Run. full says whether the query
 // reads everything.
-func (f *Follower) call(ctx context.Context, calls *conc.WaitGroup, r callResult, query query, full bool) *transfer {
+func (f *Follower) call(ctx context.Context, calls *conc.WaitGroup, r callResult, query query, full bool) *pendingCall {
 	callCtx, cancel := context.WithCancel(ctx)
-	t := &transfer{full: full, cancel: cancel}
+	p := &pendingCall{full: full, cancel: cancel}
 	callCtx = WithProgressFunc(callCtx, func() {
 		now := f.now()
-		t.lastPart.Store(&now)
+		p.lastPart.Store(&now)
 	})
 	calls.Go(func() {
 		defer cancel()
@@ -210,7 +210,7 @@
 		case <-ctx.Done():
 		}
 	})
-	return t
+	return p
 }
 
 // regularQuery returns the query of the next regular call: a watch if the follower is in sync, else a
@@ -242,8 +242,9 @@
 	}
 }
 
-// watchWait returns the wait of a watch, so that it ends when the data is MaxWait + Pause old. An
-// answer with changes only confirms the state at the start of its call, so the next watch waits less.
+// watchWait returns how long a watch waits for a change: until the data is MaxWait + Pause old, but
+// at most MaxWait. After an answer with changes it is less, since that answer confirms only the state
+// at the start of its call.
 func (f *Follower) watchWait(now time.Time) time.Duration {
 	return min(f.MaxWait, max(minWatchWait, f.asOf.Add(f.MaxWait+f.Pause).Sub(now)))
 }
@@ -251,7 +252,8 @@
 // watchFunc is Store.Watch or Store.WatchNewConn.
 type watchFunc func(ctx context.Context, prefix string, after Revision, wait time.Duration) (Changes, error)
 
-// watch reads changes from the store. An answer without any confirms the state at the end of the wait.
+// watch reads changes from the store. An answer without changes confirms the state at the end of the
+// wait.
 func (f *Follower) watch(ctx context.Context, call watchFunc, after Revision, wait, timeout time.Duration) (*Snapshot, *Changes, error) {
 	ctx, cancel := withIdleTimeout(ctx, wait+timeout)
 	defer cancel()
--- a/internal/store/counted.go
+++ b/internal/store/counted.go
@@ -54,11 +54,11 @@
 // Commit implements Store.
 func (c CountingStore) Commit(ctx context.Context, txn Txn) (Result, error) {
 	result, err := c.Store.Commit(ctx, txn)
-	about := ""
+	key := ""
 	if len(txn.Puts) > 0 {
-		about = txn.Puts[0].Key
+		key = txn.Puts[0].Key
 	}
-	c.Count("write", subject(about), err)
+	c.Count("write", subject(key), err)
 	return result, err
 }
 
--- a/internal/store/feed.go
+++ b/internal/store/feed.go
@@ -22,8 +22,8 @@
 // the routers do. It serves data only while this router follows the store itself. Otherwise two
 // routers that follow each other would take each other's old data for new.
 type Feed struct {
-	// Equivalent reports whether a new item contains no news for readers that have the one
-	// before, as with heartbeats. Nil means that every item is news.
+	// Equivalent reports whether readers that have the item before don't need the one after,
+	// for example because it is only a heartbeat. Nil means that they need every item.
 	Equivalent func(before, after Item) bool
 	// Now returns the time of a clock that advances while the VM is suspended; nil means
 	// time.Now.
@@ -68,8 +68,8 @@
 }
 
 // update adds an answer of the store, a snapshot or changes. silence is the time without an answer
-// before it, asOf the time whose state the answer reflects at least, and freshFor how long after
-// asOf the data may be served.
+// before it. The answer reflects the store's state at asOf or later, and the data may be served for
+// freshFor after asOf.
 func (f *Feed) update(s *Snapshot, c *Changes, silence Silence, asOf time.Time, freshFor time.Duration) {
 	if f == nil {
 		return
@@ -88,8 +88,8 @@
 }
 
 // updateFromPeer adds an answer of another router and the silence before it. The data is not served
-// until this router follows the store itself again. Without it the feed would then lack these
-// changes, and its readers would never get them.
+// until this router follows the store itself again. If the answer were not added, the feed would then
+// lack these changes, and its readers would never get them.
 func (f *Feed) updateFromPeer(s *Snapshot, c *Changes, silence Silence) {
 	if f == nil {
 		return
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -34,12 +34,12 @@
 // then watches for changes; it reads everything again whenever the history is lost or a watch
 // fails. It calls other routers if its Relay is active, and the store if they have no answer.
 //
-// With each answer it records the time whose state of the store the answer confirms. Once that
-// time is CheckAfter ago the data is stale, and the follower reads from the store in parallel
-// with whatever call is under way, repeatedly until there is an answer. So as long as the store
+// With each answer it records the time as of which the answer confirms the store's state. Once
+// that time is CheckAfter ago the data is stale, and the follower calls the store in parallel with
+// whatever call is under way, repeatedly until there is an answer. So as long as the store
 // answers new calls, the age of the data is bounded by CheckAfter, the interval of the Backoff
-// and a round trip, however long other calls, pauses and timeouts take. Without these checks
-// their sum exceeded the limit set by backend servers that leave as soon as two calls failed.
+// and a round trip, however long other calls, pauses and timeouts take. Without these checks, two
+// failed calls were enough to exceed the limit on the age that leaving backend servers set.
 type Follower struct {
 	Store  Store
 	Prefix string
@@ -74,8 +74,8 @@
 	// StaleCheckStarted, if not nil, is called when the data has become stale, with its age,
 	// whether this router follows others, and whether calls to the store failed before.
 	StaleCheckStarted func(age time.Duration, relayed, failing bool)
-	// Confirmed, if not nil, is called after each answer with the time whose state of the
-	// store the data reflects at least.
+	// Confirmed, if not nil, is called after each answer. The data reflects the store's state at
+	// asOf or later.
 	Confirmed func(asOf time.Time)
 	// Now returns the time of a clock that advances while the VM is suspended; nil means
 	// time.Now.
--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -103,7 +103,7 @@
 }
 
 // RecordFailure records that a call failed. It starts the backoff if the call was made without
-// Allow, as calls to a store that answers are.
+// Allow, as it is while the store answers.
 func (b *Backoff) RecordFailure(started time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -127,8 +127,8 @@
 	return after, b.lastFailureStart.After(after)
 }
 
-// OngoingOutage is Outage for a router that the store has not answered yet. It counts a probe
-// that has waited longer than an answer takes on a working network path like one that was
+// OngoingOutage is Outage for a router that the store has not answered yet. It treats a
+// probe that has waited longer than an answer takes on a working network path like one that was
 // overtaken by a later probe.
 func (b *Backoff) OngoingOutage(after, now time.Time) (earliestReturn time.Time, broken bool) {
 	earliestReturn, broken = b.Outage(after)
--- a/internal/store/learn.go
+++ b/internal/store/learn.go
@@ -36,8 +36,9 @@
 	f.Backoff.ProbeFailed(r.probe, r.ended, !r.abandoned)
 }
 
-// peersFailed handles a failed call to other routers: the next regular call goes to the store, unless
-// checks already call it.
+// peersFailed handles a failed call to other routers. If they no longer have the changes, the next
+// regular call reads everything from them. Otherwise it goes to the store, unless the checks already
+// call the store or its last call failed: then the other routers are called again.
 func (f *Follower) peersFailed(err error, now time.Time) {
 	f.regular.next = now
 	if errors.Is(err, ErrCompacted) {
--- a/internal/store/parts.go
+++ b/internal/store/parts.go
@@ -21,7 +21,7 @@
 
 // ReportProgress must be called by implementations of Store when a part of an answer arrives.
 func ReportProgress(ctx context.Context) {
-	if report, wanted := ctx.Value(progressKey{}).(func()); wanted {
+	if report, ok := ctx.Value(progressKey{}).(func()); ok {
 		report()
 	}
 }
@@ -46,15 +46,16 @@
 	}
 }
 
-// transfer is a call to the store whose answer may be arriving.
-type transfer struct {
+// pendingCall is a call that may be under way, and the progress of its answer. Only the store's answers
+// report progress.
+type pendingCall struct {
 	full     bool // a read of everything, not of the changes only
 	cancel   context.CancelFunc
 	lastPart atomic.Pointer[time.Time] // arrival of the last part; nil: none yet
 }
 
 // arriving reports whether parts of the answer keep arriving.
-func (t *transfer) arriving(now time.Time) bool {
-	part := t.lastPart.Load()
+func (p *pendingCall) arriving(now time.Time) bool {
+	part := p.lastPart.Load()
 	return part != nil && now.Sub(*part) < maxPartGap
 }
--- a/internal/store/probes.go
+++ b/internal/store/probes.go
@@ -19,7 +19,8 @@
 	maxProbes = 16
 )
 
-// Probe is a call to the store over a new connection. Probes show when an outage ended.
+// Probe records the connection and the answer of a check, which calls the store over a new connection.
+// Probes show when an outage ended.
 type Probe struct {
 	started   time.Time
 	connected time.Time // zero: no connection yet
@@ -104,7 +105,7 @@
 
 // ReportConnected must be called by implementations of Store when a call has got its connection.
 func ReportConnected(ctx context.Context) {
-	if report, wanted := ctx.Value(connectedKey{}).(func()); wanted {
+	if report, ok := ctx.Value(connectedKey{}).(func()); ok {
 		report()
 	}
 }
