--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -209,10 +209,10 @@
 }
 
 // callWithTimeout makes a call that may take up to timeout. If the call fails or the peer does not
-// answer in time, the peer is put in back-off and its connection is closed, which fails all other
+// answer in time, the peer is put in backoff and its connection is closed, which fails all other
 // calls on it. That is not done if ctx ended, or if the peer has answered another call since this
 // one began: a request whose caller disconnects, or that waits for tokens until its deadline,
-// would otherwise cut all other requests off from their account's home for seconds.
+// would otherwise cut all other requests off from this peer for seconds.
 func (c *Client) callWithTimeout(ctx context.Context, timeout time.Duration, address, method string, request, answer any) error {
 	client, err := c.connect(address)
 	if err != nil {
@@ -286,7 +286,7 @@
 	}
 }
 
-// recordFailure puts a peer in back-off and closes the connection, which may be dead.
+// recordFailure puts a peer in backoff and closes the connection, which may be dead.
 func (c *Client) recordFailure(address string, client *rpc.Client) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/peers/follow.go
+++ b/internal/peers/follow.go
@@ -70,8 +70,8 @@
 const maxFollowWait = 2 * time.Second
 
 // Follow asks one peer for items or changes of the store. It returns store.ErrNoFeed or
-// store.ErrCompacted if the peer can't tell them, ErrUnreachable or ErrNotSent if the call
-// failed, and ErrCorruptAnswer if the answer can't be decompressed.
+// store.ErrCompacted if the peer doesn't have them, ErrUnreachable or ErrNotSent if the call
+// failed or the peer is in backoff, and ErrCorruptAnswer if the answer can't be decompressed.
 func (c *Client) Follow(ctx context.Context, address string, request FollowRequest) (FollowAnswer, error) {
 	if c.inBackoff(address) {
 		return FollowAnswer{}, ErrUnreachable
--- a/internal/peers/follow_test.go
+++ b/internal/peers/follow_test.go
@@ -26,7 +26,7 @@
 }
 
 // A router without a feed, or with one that has read nothing, answers ErrNoFeed; the client must
-// not put it in back-off for that.
+// not put it in backoff for that.
 func TestFollowWithoutFeed(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -66,8 +66,8 @@
 	qt.Assert(t, used, qt.Equals, int64(14))
 }
 
-// A loan whose answer was lost must be taken back, but only once.
-func TestVoidedLoanIsTakenBackOnce(t *testing.T) {
+// A loan whose answer was lost is voided. Its tokens must be returned to the lender, but only once.
+func TestVoidedLoanIsReturnedOnce(t *testing.T) {
 	l := &fakeLender{tokens: 100}
 	s := &Service{lender: l, clock: event.Discard(), transfers: newTransfers()}
 	id := TransferID{Incarnation: "p1", Serial: 1}
@@ -79,7 +79,7 @@
 		qt.Assert(t, l.tokens, qt.Equals, int64(100))
 	}
 	qt.Assert(t, s.Lend(LoanRequest{ID: id, Account: "a", Tokens: 40}, &loan), qt.IsNil)
-	qt.Assert(t, l.tokens, qt.Equals, int64(100), qt.Commentf("a loan that was voided before it was given"))
+	qt.Assert(t, l.tokens, qt.Equals, int64(100), qt.Commentf("a loan that was voided before it was asked for"))
 }
 
 // A gift is repeated until it is acknowledged; it must count once.
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -79,7 +79,8 @@
 
 // Lender lends granted tokens to other routers and takes tokens from them.
 type Lender interface {
-	// Lend lends up to the given number of tokens. For a waiterID it draws tokens if needed.
+	// Lend lends up to the given number of tokens. A waiterID names the request that needs them;
+	// if it is not empty, Lend draws tokens if needed.
 	Lend(account string, tokens int64, waiterID string) escrow.Loan
 	// VoidLoan cancels a loan that the borrower did not receive.
 	VoidLoan(account string, tokens int64)
@@ -120,8 +121,8 @@
 	return nil
 }
 
-// Void undoes a loan whose answer was lost. If the loan has not been asked for here yet, it will
-// not be given.
+// Void cancels a loan whose answer was lost. If the LoanRequest arrives only later, no tokens are
+// lent for it.
 func (s *Service) Void(id TransferID, _ *struct{}) error {
 	if account, tokens := s.transfers.void(id); tokens > 0 {
 		s.lender.VoidLoan(account, tokens)
--- a/internal/peers/silence_test.go
+++ b/internal/peers/silence_test.go
@@ -36,45 +36,45 @@
 	return l, listener.Addr().String()
 }
 
-// A cancelled call must neither put the home in back-off nor close the connection under other
-// calls.
+// A cancelled call must neither put the peer in backoff nor close the connection that other calls
+// use.
 func TestCancelledCallDoesNotAffectOtherCalls(t *testing.T) {
-	lender, home := startBlockingPeer(t)
+	lender, address := startBlockingPeer(t)
 	c := NewClient("p1", func() []string { return nil }, event.Discard())
 	waiting := make(chan escrow.Loan)
-	go func() { waiting <- c.BorrowFrom(context.Background(), home, "a", 5, blockedWaiter) }()
+	go func() { waiting <- c.BorrowFrom(context.Background(), address, "a", 5, blockedWaiter) }()
 	<-lender.entered
 	ctx, cancel := context.WithCancel(context.Background())
 	cancelled := make(chan escrow.Loan)
-	go func() { cancelled <- c.BorrowFrom(ctx, home, "a", 5, blockedWaiter) }()
+	go func() { cancelled <- c.BorrowFrom(ctx, address, "a", 5, blockedWaiter) }()
 	<-lender.entered
 	cancel()
 	qt.Assert(t, (<-cancelled).Short, qt.Equals, escrow.PeerUnreachable)
-	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, "next").Tokens, qt.Equals, int64(5))
+	qt.Assert(t, c.BorrowFrom(context.Background(), address, "a", 5, "next").Tokens, qt.Equals, int64(5))
 	close(lender.release)
 	qt.Assert(t, (<-waiting).Tokens, qt.Equals, int64(5))
 }
 
-// A call that times out must not put a home in back-off that has answered others meanwhile.
+// A call that times out must not put a peer in backoff that has answered other calls meanwhile.
 func TestTimeoutAtResponsivePeerStartsNoBackoff(t *testing.T) {
-	lender, home := startBlockingPeer(t)
+	lender, address := startBlockingPeer(t)
 	defer close(lender.release)
 	c := NewClient("p1", func() []string { return nil }, event.Discard())
 	timedOut := make(chan escrow.Loan)
-	go func() { timedOut <- c.BorrowFrom(context.Background(), home, "a", 5, blockedWaiter) }()
+	go func() { timedOut <- c.BorrowFrom(context.Background(), address, "a", 5, blockedWaiter) }()
 	<-lender.entered
-	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, "other").Tokens, qt.Equals, int64(5))
+	qt.Assert(t, c.BorrowFrom(context.Background(), address, "a", 5, "other").Tokens, qt.Equals, int64(5))
 	qt.Assert(t, (<-timedOut).Short, qt.Equals, escrow.PeerUnreachable)
-	qt.Assert(t, c.inBackoff(home), qt.IsFalse)
-	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, "next").Tokens, qt.Equals, int64(5))
+	qt.Assert(t, c.inBackoff(address), qt.IsFalse)
+	qt.Assert(t, c.BorrowFrom(context.Background(), address, "a", 5, "next").Tokens, qt.Equals, int64(5))
 }
 
-// A home that answers no call is put in back-off, so that requests try other holders immediately.
+// A peer that answers no call is put in backoff, so that requests ask other peers immediately.
 func TestUnresponsivePeerIsInBackoff(t *testing.T) {
-	lender, home := startBlockingPeer(t)
+	lender, address := startBlockingPeer(t)
 	defer close(lender.release)
 	c := NewClient("p1", func() []string { return nil }, event.Discard())
 	go func() { <-lender.entered }()
-	qt.Assert(t, c.BorrowFrom(context.Background(), home, "a", 5, blockedWaiter).Short, qt.Equals, escrow.PeerUnreachable)
-	qt.Assert(t, c.inBackoff(home), qt.IsTrue)
+	qt.Assert(t, c.BorrowFrom(context.Background(), address, "a", 5, blockedWaiter).Short, qt.Equals, escrow.PeerUnreachable)
+	qt.Assert(t, c.inBackoff(address), qt.IsTrue)
 }
--- a/internal/peers/transfers.go
+++ b/internal/peers/transfers.go
@@ -9,9 +9,8 @@
 // the peer, which repeats transfers whose answers were lost.
 const transferRetention = time.Minute
 
-// transfers records recent loans and gifts, so that a loan whose answer was lost can be taken
-// back and a repeated gift counts once. Without it, each lost answer would lose tokens of the
-// budget.
+// transfers records recent loans and gifts, so that a loan whose answer was lost can be voided
+// and a repeated gift counts once. Without it, each lost answer would lose tokens of the budget.
 type transfers struct {
 	mu          sync.Mutex
 	byID        map[TransferID]*transfer
