--- a/internal/callers/front.go
+++ b/internal/callers/front.go
@@ -19,7 +19,7 @@
 // Router holds the functions and settings of a router that the HTTP handlers use.
 type Router struct {
 	Serve forward.ServeFunc
-	// Refuse answers a request that is not served.
+	// Refuse answers a request with a refusal, without serving it.
 	Refuse       func(r *request.Request, caller forward.Caller, refusal forward.Refusal)
 	MaxBodyBytes func() int64 // 0 means no limit
 	// ShuttingDown reports whether the process is shutting down, so that callers should not
--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -133,7 +133,7 @@
 const (
 	settleInterval = 500 * time.Millisecond
 	// settleTimeout is how long a transfer is retried: a peer that doesn't answer for so long is
-	// gone, and the tokens that it held with it.
+	// gone, and so are the tokens that it held.
 	settleTimeout = 30 * time.Second
 )
 
--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -57,8 +57,9 @@
 	// maxChecks limits the checks under way to those that start within checkTimeout at the
 	// intervals of a Backoff. A new check replaces the oldest one.
 	maxChecks = 6
-	// relayedCheckDelay is by how much a router that follows a store reader checks later than
-	// that reader, so that the reader's check succeeds first and one call serves all.
+	// relayedCheckDelay is by how much a router that follows a store reader, a router that reads
+	// from the store for others, checks later than that reader. The reader's check then succeeds
+	// first, and one call serves all.
 	relayedCheckDelay = 150 * time.Millisecond
 	// backoffPollInterval is how often a follower checks whether the Backoff allows a call
 	// again, which another follower's answer may have caused.
--- a/internal/store/learn.go
+++ b/internal/store/learn.go
@@ -126,8 +126,9 @@
 }
 
 // recordAnswer records an answer and returns the silence of the store before it. For an answer of
-// another router this is the silence that router saw: if the store answered it all the time, no
-// entry has expired because of an outage. A router that started following meanwhile can't tell.
+// another router this is the silence seen by that router: if the store answered it all the time, no
+// entry has expired because of an outage. A router that started following meanwhile can't tell, and
+// the time since this router's last answer counts instead.
 func (f *Follower) recordAnswer(r callResult, now time.Time) Silence {
 	last := f.lastAnswer
 	f.lastAnswer = now
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -95,7 +95,7 @@
 	incarnation string
 	conn        *conn
 	response    *http.Response
-	stop        func() bool  // cancels the closing of the connection when ctx ends
+	stop        func() bool  // keeps the end of ctx from closing the connection; false: ctx has ended
 	written     <-chan error // receives the result of writing the request
 	bodyRead    bool         // the body was read to its proper end
 	unusable    bool         // the connection carried a response to another request
--- a/internal/upstream/headers.go
+++ b/internal/upstream/headers.go
@@ -14,7 +14,7 @@
 // OutputTokens are empty if the dialect has no such header.
 type HeaderNames struct {
 	RequestID    string // of requests and responses: the ID of the request
-	ServerID     string // of requests: the server that is meant; another one rejects the request
+	ServerID     string // of requests: ID of the intended server; another one rejects the request
 	TimeLeft     string // of requests: how long the router waits for the response, in ms
 	LastEventID  string // of requests: the last event of the stream that the caller has
 	Account      string // of requests: the client account that pays
@@ -22,7 +22,7 @@
 	NotExecuted  string // of responses: the server did not run the request
 	Load         string // of responses: numbers of running and waiting requests and of slots
 	Cold         string // of responses: how much longer the server will be cold, in ms
-	RateLimit    string // of responses: requests per second that the server takes from all routers
+	RateLimit    string // of responses: requests per second that the server accepts from all routers together
 	OutputTokens string // of responses that are not streams: the number of output tokens
 }
 
