--- a/cmd/chicory-load/main.go
+++ b/cmd/chicory-load/main.go
@@ -14,21 +14,21 @@
 
 // Exit statuses.
 const (
-	exitFaults = 1
-	exitFailed = 2
+	exitViolations = 1
+	exitFailed     = 2
 )
 
 func main() {
 	opts := parseOptions(os.Args[1:])
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	faults, err := run(ctx, opts, os.Stdout)
+	violations, err := run(ctx, opts, os.Stdout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "chicory-load:", err)
 		os.Exit(exitFailed)
 	}
-	if faults > 0 {
-		fmt.Fprintf(os.Stderr, "chicory-load: %d faults\n", faults)
-		os.Exit(exitFaults)
+	if violations > 0 {
+		fmt.Fprintf(os.Stderr, "chicory-load: %d violations\n", violations)
+		os.Exit(exitViolations)
 	}
 }
--- a/cmd/chicory-load/run.go
+++ b/cmd/chicory-load/run.go
@@ -18,7 +18,7 @@
 
 const reportFileMode = 0o644
 
-// run generates the load and writes the report. It returns the number of faults found.
+// run generates the load and writes the report. It returns the number of violations found.
 func run(ctx context.Context, o *options, stdout io.Writer) (int, error) {
 	if len(o.keys) == 0 && len(o.routers) == 0 {
 		o.keys = []string{"direct"} // placeholder: engines require no key
@@ -119,8 +119,9 @@
 	return load.NewCaller(client, caches, retryPolicy(o), nil)
 }
 
-// newSources returns the sources against which answers are checked. It records the runs
-// that the engines report already, so that they are not attributed to this run.
+// newSources returns the sources against which answers are checked. It must be called before
+// the load starts: it records the runs that the engines already report, so that these are not
+// attributed to the load.
 func newSources(o *options, client *load.Client) (load.Sources, error) {
 	sources := load.Sources{
 		Engines:  splitList(o.engines),
--- a/cmd/chicory-load/run_test.go
+++ b/cmd/chicory-load/run_test.go
@@ -30,9 +30,9 @@
 		"--direct", address, "--engines", address, "--requests", "40", "--output-tokens", "5-20", "--output", "json",
 	})
 	var out bytes.Buffer
-	faults, err := run(context.Background(), o, &out)
+	violations, err := run(context.Background(), o, &out)
 	c.Assert(err, qt.IsNil)
-	c.Assert(faults, qt.Equals, 0)
+	c.Assert(violations, qt.Equals, 0)
 	var report load.Report
 	c.Assert(json.Unmarshal(out.Bytes(), &report), qt.IsNil)
 	c.Assert(report.Targets[0].Statuses, qt.DeepEquals, map[load.Status]int{load.StatusOK: 40})
@@ -43,12 +43,12 @@
 func TestInvalidOptionsAreRejected(t *testing.T) {
 	c := qt.New(t)
 	for _, args := range [][]string{
-		{},
+		{},                          // neither --router nor --direct
 		{"--direct", "127.0.0.1:1"}, // neither requests nor duration
-		{"--direct", "127.0.0.1:1", "--paired", "--requests", "1"},               // --paired without --router
-		{"--router", "127.0.0.1:1", "--requests", "1"},                           // no key
-		{"--direct", "127.0.0.1:1", "--requests", "1", "--output-tokens", "9-2"}, // empty range
-		{"--router", "127.0.0.1:1", "--key", "k", "--requests", "1", "--service-share", "0.5"},
+		{"--direct", "127.0.0.1:1", "--paired", "--requests", "1"},                             // --paired without --router
+		{"--router", "127.0.0.1:1", "--requests", "1"},                                         // no key
+		{"--direct", "127.0.0.1:1", "--requests", "1", "--output-tokens", "9-2"},               // empty range
+		{"--router", "127.0.0.1:1", "--key", "k", "--requests", "1", "--service-share", "0.5"}, // no --service
 	} {
 		_, err := run(context.Background(), parseOptions(args), &bytes.Buffer{})
 		c.Check(err, qt.IsNotNil, qt.Commentf("%q", args))
