--- a/cmd/chicory-engine/main.go
+++ b/cmd/chicory-engine/main.go
@@ -23,12 +23,12 @@
 const (
 	kindEngine  = "engine"
 	kindService = "service"
-	// crashExitStatus is the exit status after a crash that a marked request triggered.
+	// crashExitStatus is the exit status if a request with the crash marker ends the process.
 	crashExitStatus  = 3
 	idlePollInterval = 20 * time.Millisecond
 )
 
-// backendServer is the common interface of engines and plain services.
+// backendServer is the common interface of stub engines and stub plain services.
 type backendServer interface {
 	Serve(net.Listener) error
 	Drain()
--- a/cmd/chicory-timeline/main.go
+++ b/cmd/chicory-timeline/main.go
@@ -1,6 +1,6 @@
 // Command chicory-timeline merges the event logs of many processes into one timeline in
 // causal order. It filters the timeline, or summarizes it by route or client account. Its
-// exit status is 1 if a log cannot be read. Damaged lines are skipped, and their number is
+// exit status is 1 if a log cannot be read. Malformed lines are skipped, and their number is
 // printed to standard error.
 package main
 
@@ -33,7 +33,7 @@
 	output string
 }
 
-// writers are the output formats by the value of --output.
+// writers maps each value of --output to the function that writes this format.
 var writers = map[string]func(io.Writer, []timeline.Line) error{
 	"table": timeline.WriteTable, "json": timeline.WriteJSON, "requests": timeline.WriteRequests, "budgets": timeline.WriteBudgets,
 }
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -63,7 +63,7 @@
 			return
 		}
 	}
-	t.Fatalf("no fault names %s: %v", field, err)
+	t.Fatalf("no field error names %s: %v", field, err)
 }
 
 func TestValidationListsAllFieldErrors(t *testing.T) {
--- a/internal/contract/limits.go
+++ b/internal/contract/limits.go
@@ -68,8 +68,8 @@
 	return append(paths, unescaped, cleanPath(unescaped))
 }
 
-// cleanPath is path.Clean for a rooted path, but keeps a trailing slash so that the prefix
-// "/orders/" still matches.
+// cleanPath makes p absolute and applies path.Clean, but keeps a trailing slash so that the
+// prefix "/orders/" still matches.
 func cleanPath(p string) string {
 	clean := path.Clean("/" + p)
 	if strings.HasSuffix(p, "/") && clean != "/" {
--- a/internal/ctl/app.go
+++ b/internal/ctl/app.go
@@ -121,7 +121,7 @@
 
 func (e *commandError) Error() string { return e.cause.Error() }
 
-// setAction makes clause run action with the store and the time limit of the flags.
+// setAction makes clause run action with the store and the time limit that the flags set.
 func (a *app) setAction(clause *kingpin.CmdClause, action func(context.Context, store.Store) error) {
 	clause.Action(func(*kingpin.ParseContext) error {
 		ctx, cancel := context.WithTimeout(context.Background(), a.timeout)
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -28,7 +28,7 @@
 	return &operator{C: qt.New(t), store: memstore.New(nil)}
 }
 
-// run returns the exit code and the combined standard and error output.
+// run runs one command and returns its exit code and its combined standard output and error.
 func (o *operator) run(stdin string, args ...string) (int, string) {
 	var out bytes.Buffer
 	code := Run("test", args, Streams{In: strings.NewReader(stdin), Out: &out, Err: &out}, func(string) store.Store { return o.store })
--- a/internal/event/catalogue.go
+++ b/internal/event/catalogue.go
@@ -49,7 +49,7 @@
 	// tokens left to lend.
 	BudgetShortage Number = 311
 	// TokensGathered: a router that holds an account's grant on behalf of all routers asked
-	// another router for the tokens that are still granted to it in the record.
+	// another router for tokens that had been granted to that router and were not spent.
 	TokensGathered Number = 312
 )
 
@@ -97,8 +97,8 @@
 	StoreCalls       Number = 716
 	// BackendMissing: the entry of a backend server is missing after a store outage.
 	BackendMissing Number = 717
-	// DataStale: the call that should have confirmed the data known from the store, directly or
-	// by way of another router, is overdue.
+	// DataStale: data read from the store, directly or through another router, was not
+	// confirmed in time.
 	DataStale Number = 718
 )
 
--- a/internal/operate/budgets.go
+++ b/internal/operate/budgets.go
@@ -13,7 +13,7 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Statement is the statement of an account's budget, with the tokens that were prepaid.
+// Statement is an account's budget statement together with its prepaid tokens.
 type Statement struct {
 	Prepaid int64 `json:"prepaid"`
 	escrow.Statement
@@ -38,8 +38,8 @@
 	return Statement{Prepaid: int64(c.Prepaid), Statement: statement}, errors.Wrapf(err, "budget of account %q", account)
 }
 
-// Budget summarizes an account's tokens. Spent lags a few seconds behind the actual use;
-// Granted is up to date and is never exceeded by it.
+// Budget summarizes an account's tokens. Spent lags a few seconds behind the actual use.
+// Granted is up to date, and the actual use never exceeds it.
 type Budget struct {
 	Account string `json:"account"`
 	Prepaid int64  `json:"prepaid"`
--- a/internal/operate/evacuate.go
+++ b/internal/operate/evacuate.go
@@ -29,7 +29,8 @@
 	return errors.Wrapf(ErrNotFound, "backend servers in failure domain %q", domain)
 }
 
-// Restore ends the evacuation of a failure domain.
+// Restore ends the evacuation of a failure domain. It returns ErrNotFound if the domain is
+// not evacuated.
 func Restore(ctx context.Context, s store.Store, domain string) error {
 	evacuated, err := EvacuatedDomains(ctx, s)
 	if err != nil {
--- a/internal/timeline/budgets.go
+++ b/internal/timeline/budgets.go
@@ -16,19 +16,19 @@
 // budgetCausePrefix is the prefix of the causes of refusals for lack of tokens.
 const budgetCausePrefix = "budget_"
 
-// budgetSummary summarizes the events of one account's tokens.
+// budgetSummary summarizes the events about one account's tokens.
 type budgetSummary struct {
-	// used is the tokens that its requests were charged for.
+	// used is the number of tokens charged for the account's requests.
 	used int64
-	// closedGrants counts the closed grants of dead routers. assumedSpent is the part of them
-	// that counts as spent, reportedSpent what the routers had reported as spent.
+	// closedGrants is the number of closed grants of dead routers. assumedSpent is how many of
+	// their tokens count as spent, reportedSpent how many the routers had reported as spent.
 	closedGrants                int
 	assumedSpent, reportedSpent int64
 	refused                     map[string]int // requests by cause
 }
 
-// WriteBudgets writes one row per client account: the tokens that its requests were charged
-// for, the tokens in doubt after router crashes, and the requests refused for lack of tokens.
+// WriteBudgets writes one row per client account: the tokens charged for its requests, the
+// tokens in doubt after router crashes, and the requests refused for lack of tokens.
 func WriteBudgets(w io.Writer, lines []Line) error {
 	budgets := summarizeBudgets(lines)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
--- a/internal/timeline/requests.go
+++ b/internal/timeline/requests.go
@@ -15,14 +15,15 @@
 	"chicorytiller.example/chicorytiller/internal/event"
 )
 
-// stage is a part of the duration of a request, in milliseconds.
+// stage is one of the durations reported for answered requests, in milliseconds.
 type stage struct {
 	title    string
 	duration func(*Line) (ms int64, ok bool)
 }
 
-// stages are in the order in which a request passes through them. DISPATCH is the rest of the
-// time to the first byte: selecting servers, connecting, and failed attempts.
+// stages lists the stages in the order of the table's columns. DISPATCH is the part of the time
+// to the first byte that is neither BUDGET nor SERVER: selecting servers, connecting, and
+// failed attempts.
 var stages = []stage{
 	{"BUDGET", millisAttr("reserved_ms")},
 	{"DISPATCH", func(l *Line) (int64, bool) {
@@ -119,8 +120,8 @@
 	millis      []int64 // from the arrival of each request to its refusal
 }
 
-// extend includes the time of one more refusal. Lines are in causal order, so that their wall
-// clocks may go backwards.
+// extend includes the time of one more refusal. The lines are in causal order, so their
+// wall-clock times may go backwards.
 func (r *refusals) extend(at time.Time) {
 	if at.Before(r.first) {
 		r.first = at
--- a/internal/timeline/write.go
+++ b/internal/timeline/write.go
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// WriteTable writes the lines as a table for people to read.
+// WriteTable writes the lines as a human-readable table.
 func WriteTable(w io.Writer, lines []Line) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "CLOCK\tTIME\tPROCESS\tEVENT\tTEXT\tATTRIBUTES")
