--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -13,7 +13,7 @@
 // Outcomes of a logical request.
 const (
 	StatusOK        Status = "ok"
-	StatusRefused   Status = "refused"   // the last try got an error response
+	StatusRefused   Status = "refused"   // the last try got an error response or an error event
 	StatusLost      Status = "lost"      // the last try got no complete answer
 	StatusSpliced   Status = "spliced"   // content, finish reason or usage differs from the expected answer
 	StatusTruncated Status = "truncated" // well-formed, but shorter than the expected answer
@@ -80,7 +80,7 @@
 		var out tryResult
 		err := c.tryNext(&picker, &result.Request, deadline, &out)
 		result.recordTry(err, &out, start)
-		delay, retry := c.retryDelay(err, picker.remaining, &backoff)
+		delay, retry := c.retryDelay(err, picker.hasUntried, &backoff)
 		if !retry || time.Until(deadline) <= delay {
 			break
 		}
@@ -92,6 +92,8 @@
 	return result
 }
 
+// tryNext sends req to the picker's next address. If that address is unavailable, it marks it
+// as failed.
 func (c *Caller) tryNext(picker *addressPicker, req *Request, deadline time.Time, out *tryResult) error {
 	address, err := picker.next()
 	if err != nil {
@@ -113,6 +115,7 @@
 	causeFenced   = "router_fenced"
 )
 
+// isUnavailable reports whether err suggests that the router cannot serve any request.
 func isUnavailable(err error) bool {
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
@@ -122,8 +125,8 @@
 }
 
 // retryDelay returns whether to try again after err, and after which delay. If there was
-// no response and an address is still untried, there is no delay.
-func (c *Caller) retryDelay(err error, othersLeft bool, backoff *time.Duration) (delay time.Duration, retry bool) {
+// no response and hasUntried tells that an address is still untried, there is no delay.
+func (c *Caller) retryDelay(err error, hasUntried bool, backoff *time.Duration) (delay time.Duration, retry bool) {
 	var refusal *Refusal
 	switch {
 	case err == nil:
@@ -136,7 +139,7 @@
 		if refusal.RetryAfter > 0 {
 			return refusal.RetryAfter, true
 		}
-	case errors.Is(err, ErrNoResponse) && othersLeft:
+	case errors.Is(err, ErrNoResponse) && hasUntried:
 		return 0, true
 	case errors.Is(err, ErrNoResponse), errors.Is(err, ErrInterrupted):
 	default: // wrong content: a retry would hide the fault
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -63,15 +63,15 @@
 	}
 }
 
-// get returns the body of a successful GET. An empty credential is not sent.
-func (c *Client) get(url, credential string) ([]byte, error) {
+// get returns the body of a successful GET. An empty key is not sent.
+func (c *Client) get(url, key string) ([]byte, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.SetRequestURI(url)
 	request.SetTimeout(getTimeout)
-	if credential != "" {
-		request.Header.Set("Authorization", "Bearer "+credential)
+	if key != "" {
+		request.Header.Set("Authorization", "Bearer "+key)
 	}
 	if err := c.http.Do(request, response); err != nil {
 		return nil, errors.Wrapf(ErrNoResponse, "GET %s: %v", url, err)
@@ -86,8 +86,8 @@
 	return body, nil
 }
 
-// try sends req once to address and reads the complete answer. The error is nil if it
-// is the expected answer; otherwise it is a *Refusal or wraps ErrNoResponse,
+// try sends req once to address and reads the complete answer. The error is nil if the
+// answer is the expected one; otherwise it is a *Refusal or wraps ErrNoResponse,
 // ErrInterrupted, ErrMismatch or ErrTruncated.
 func (c *Client) try(address string, req *Request, deadline time.Time, out *tryResult) error {
 	timeout := time.Until(deadline)
--- a/internal/load/errors.go
+++ b/internal/load/errors.go
@@ -27,7 +27,8 @@
 	ErrInvalidConfig = errors.New("load: invalid options")
 )
 
-// Refusal is an error response of a router.
+// Refusal is an error response, or an error event within a stream. Status is 200 for an
+// error event, since the stream had begun.
 type Refusal struct {
 	Status     int
 	Cause      string
--- a/internal/load/evidence.go
+++ b/internal/load/evidence.go
@@ -11,7 +11,7 @@
 	Engines  []string                 // "IP:port" of each simulated engine
 	Services []string                 // "IP:port" of each simulated service
 	Budgets  func() ([]Budget, error) // reads the budgets from the store
-	// PriorRuns holds the request ids that engines reported before the load run. They are
+	// PriorRuns holds the request IDs that engines reported before the load run. They are
 	// excluded from the evidence.
 	PriorRuns map[string]int
 }
@@ -51,7 +51,7 @@
 	} `json:"runs"`
 }
 
-// EngineRuns returns how many attempts the engines started per request id, or nil if
+// EngineRuns returns how many attempts the engines started per request ID, or nil if
 // there are no addresses.
 func (c *Client) EngineRuns(addresses []string) (map[string]int, error) {
 	if len(addresses) == 0 {
@@ -82,8 +82,8 @@
 	} `json:"by_body"`
 }
 
-// serviceRuns returns the number of runs per call id, or nil if there are no
-// addresses.
+// serviceRuns returns the number of runs per idempotency key, which is the id in the body
+// of a confirm call. It returns nil if there are no addresses.
 func (c *Client) serviceRuns(addresses []string) (map[string]int, error) {
 	if len(addresses) == 0 {
 		return nil, nil
@@ -101,8 +101,8 @@
 	return counts, nil
 }
 
-func (c *Client) getJSON(url, credential string, into any) error {
-	body, err := c.get(url, credential)
+func (c *Client) getJSON(url, key string, into any) error {
+	body, err := c.get(url, key)
 	if err != nil {
 		return err
 	}
--- a/internal/load/fixture_test.go
+++ b/internal/load/fixture_test.go
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// contentChunk returns an OpenAI chat-completion chunk.
+// contentChunk returns an OpenAI chat-completion chunk with the given content.
 func contentChunk(content string) string {
 	text, _ := json.Marshal(content)
 	return fmt.Sprintf(`{"id":"r1","choices":[{"index":0,"delta":{"content":%s},"finish_reason":null}]}`, text)
@@ -107,7 +107,8 @@
 	return workload.Request(0)
 }
 
-// testCaller returns a Caller for the addresses that records delays instead of sleeping.
+// testCaller returns a Caller for the addresses. It appends each delay to waits instead of
+// sleeping.
 func testCaller(waits *[]time.Duration, addresses ...string) *Caller {
 	client := NewClient([]string{"key"})
 	fetch := func(string) (EntryResponse, error) {
--- a/internal/load/money.go
+++ b/internal/load/money.go
@@ -1,7 +1,7 @@
 package load
 
-// checkBudgets checks that answered tokens do not exceed the granted ones, nor granted
-// tokens the prepaid ones.
+// checkBudgets checks that no account was granted more tokens than it prepaid, and that
+// all answers together used no more tokens than were granted.
 func (r *Reconciliation) checkBudgets(outcomes []Outcome, budgets []Budget) {
 	grantedTokens := int64(0)
 	for _, budget := range budgets {
--- a/internal/load/reconcile.go
+++ b/internal/load/reconcile.go
@@ -7,7 +7,7 @@
 // Evidence is what engines, services and the store report about a run. A nil field was
 // not read and is not checked.
 type Evidence struct {
-	EngineRuns  map[string]int // runs started by engines, by request id
+	EngineRuns  map[string]int // runs started by engines, by request ID
 	ServiceRuns map[string]int // runs of confirm calls, by idempotency key
 	Budgets     []Budget
 }
@@ -23,7 +23,7 @@
 type Reconciliation struct {
 	CheckedAgainst      []string `json:"checked_against"`
 	FalseNotRun         int      `json:"untrue_refusals"`   // refused as not_run, but ran
-	UnexplainedRuns     int      `json:"unexplained_runs"`  // runs with unknown request ids beyond the indeterminate tries
+	UnexplainedRuns     int      `json:"unexplained_runs"`  // runs with unknown request IDs beyond the indeterminate tries
 	DuplicateRuns       int      `json:"duplicate_runs"`    // runs of a non-idempotent call after its first
 	ConfirmedWithoutRun int      `json:"confirmed_not_run"` // confirm calls answered without a run
 	UngrantedTokens     int64    `json:"ungranted"`         // tokens answered beyond those granted
@@ -35,8 +35,8 @@
 // maxExamples limits the examples in a report.
 const maxExamples = 20
 
-// violations returns the number of violated guarantees. FalseBudgetRefusals is not part
-// of it: their absence is not guaranteed.
+// violations returns the number of violated guarantees. It leaves out
+// FalseBudgetRefusals, because routers do not guarantee that there are none.
 func (r *Reconciliation) violations() int {
 	return r.FalseNotRun + r.UnexplainedRuns + r.DuplicateRuns + r.ConfirmedWithoutRun +
 		int(r.UngrantedTokens+r.OverspentTokens)
@@ -48,8 +48,8 @@
 	}
 }
 
-// Reconcile checks the outcomes of a run against the evidence. direct holds the requests
-// sent to an engine without a router, which engines report as well.
+// Reconcile checks the outcomes of a run against the evidence. direct holds the outcomes
+// of requests sent to an engine without a router, whose runs engines report as well.
 func Reconcile(outcomes, direct []Outcome, evidence Evidence) *Reconciliation {
 	r := &Reconciliation{}
 	if evidence.EngineRuns != nil {
@@ -83,13 +83,13 @@
 		outcome := &outcomes[i]
 		if outcome.Kind == KindCompletion && outcome.refusedNotRun() && runs[outcome.RequestID] > 0 {
 			r.FalseNotRun++
-			r.addExample("request %s was refused as not run, and an engine ran it", outcome.RequestID)
+			r.addExample("request %s was refused as not run, but an engine ran it", outcome.RequestID)
 		}
 	}
 }
 
-// checkUnexplainedRuns finds false not_run refusals that name no request id. Each run
-// whose request id no caller learned must belong to an indeterminate try. If there are
+// checkUnexplainedRuns finds false not_run refusals that name no request ID. Each run
+// whose request ID no caller learned must belong to an indeterminate try. If there are
 // more such runs than indeterminate tries, the excess was refused as not_run.
 func (r *Reconciliation) checkUnexplainedRuns(outcomes, direct []Outcome, runs map[string]int) {
 	knownIDs := map[string]bool{}
@@ -125,11 +125,11 @@
 		}
 		if outcome.refusedNotRun() && count > 0 {
 			r.FalseNotRun++
-			r.addExample("the confirm call with key %s was refused as not run, and it ran", outcome.Key)
+			r.addExample("the confirm call with key %s was refused as not run, but it ran", outcome.Key)
 		}
 		if outcome.Status == StatusOK && count == 0 {
 			r.ConfirmedWithoutRun++
-			r.addExample("the confirm call with key %s was answered, and it never ran", outcome.Key)
+			r.addExample("the confirm call with key %s was answered, but it never ran", outcome.Key)
 		}
 	}
 }
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -128,7 +128,7 @@
 	record(r.startLag, lag)
 }
 
-// record clamps d to the histogram's range, so that no value is dropped.
+// record records d, clamped to the histogram's range so that no value is dropped.
 func record(histogram *hdrhistogram.Histogram, d time.Duration) {
 	d = min(max(d, 0), maxLatency)
 	_ = histogram.RecordValue(int64(d)) // cannot fail within the range
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -66,7 +66,7 @@
 }
 
 // Run sends the requests and returns once all have ended. When ctx is done, it sends no
-// new requests, and those under way end instead of waiting for a retry.
+// new requests, and those in flight end with their current try instead of waiting to retry.
 func (r *Runner) Run(ctx context.Context) *Run {
 	start := time.Now()
 	if r.pace.Rate > 0 {
--- a/internal/load/sse.go
+++ b/internal/load/sse.go
@@ -58,8 +58,8 @@
 	parser fastjson.Parser
 }
 
-// read reads a stream to the end of the body, checks its content with checker and fills
-// out. The error is a *Refusal if the stream has an error event.
+// read reads a stream to the end of the body, checks its content with checker and
+// records the result in out. The error is a *Refusal if the stream has an error event.
 func (s *streamReader) read(body io.Reader, checker *answerChecker, out *tryResult) error {
 	s.events.reset(body)
 	for {
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -24,7 +24,8 @@
 	return errors.WithStack(table.Flush())
 }
 
-// An empty line ends the columns of a tabwriter, so that each block has its own widths.
+// The functions below end each block with an empty line: it ends the columns of a
+// tabwriter, so that each block has its own column widths.
 
 func writeTarget(w io.Writer, t *TargetReport, seconds float64) {
 	fmt.Fprintf(w, "target %s: %d requests in %.1f s (%.1f/s), %d tokens (%.0f/s)\n\n",
--- a/internal/load/turns.go
+++ b/internal/load/turns.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// addressPicker chooses the address of each try of a request: the first in order of
-// preference that has not been tried. Once all have been tried, it starts over.
+// addressPicker chooses the address of each try of a request. It goes through the addresses
+// in order of preference, beginning at offset, and starts over once all have been tried.
 type addressPicker struct {
-	cache     *AddressCache
-	offset    int // index of the address to start at
-	tried     []string
-	remaining bool // whether an address is untried
+	cache      *AddressCache
+	offset     int // index of the address to begin at, modulo their number
+	tried      []string
+	hasUntried bool // whether an address is untried
 }
 
 func (p *addressPicker) next() (string, error) {
@@ -22,10 +22,11 @@
 		address = p.untried(addresses)
 	}
 	p.tried = append(p.tried, address)
-	p.remaining = p.untried(addresses) != ""
+	p.hasUntried = p.untried(addresses) != ""
 	return address, nil
 }
 
+// untried returns the next address that has not been tried, or "" if there is none.
 func (p *addressPicker) untried(addresses []string) string {
 	for i := range addresses {
 		address := addresses[(p.offset+i)%len(addresses)]
--- a/internal/load/workload.go
+++ b/internal/load/workload.go
@@ -153,7 +153,7 @@
 
 // newPrompt returns a prompt of at least minBytes. It starts with the output length and
 // the index, so that every request has a different answer and a splice of two answers
-// shows in the bytes.
+// is detected.
 func newPrompt(rng *rand.Rand, index, outputTokens, minBytes int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "len=%d request %d ", outputTokens, index)
