--- a/internal/enginestub/control.go
+++ b/internal/enginestub/control.go
@@ -35,7 +35,7 @@
 }
 
 // crashLocked simulates a killed process in the middle of a step. It closes the connections
-// before it ends the sequences so that no stream ends regularly. s.mu must be held.
+// before it ends the sequences so that no stream ends normally. s.mu must be held.
 func (s *scheduler) crashLocked() {
 	s.onCrash()
 	s.stopLocked()
--- a/internal/enginestub/effects.go
+++ b/internal/enginestub/effects.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// Confirmation is the effect of calls to POST /confirm. A Count above one means that a
+// Confirmation is the effect of all calls to POST /confirm with the same request ID, or with
+// the same body. A Count above one means that a
 // non-idempotent call was repeated.
 type Confirmation struct {
 	ID       string `json:"id"`
@@ -47,8 +48,8 @@
 	return list
 }
 
-// confirm records the effect of a call. It has no effect after a simulated crash, as in a
-// process that was killed.
+// confirm records the effect of a call. After a simulated crash it records nothing, as if the
+// process had been killed.
 func (s *Service) confirm(id, request, bodyHash string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/enginestub/enginehandlers.go
+++ b/internal/enginestub/enginehandlers.go
@@ -19,7 +19,8 @@
 }
 
 // handleCommon is the middleware of all routes except RateLimitPath. It copies the request ID
-// to the response, rejects requests for another backend server and advertises the rate limit.
+// to the response, rejects requests for another backend server and advertises the rate limit. It
+// does nothing for requests without an ID.
 func (h *httpServer) handleCommon(c *fiber.Ctx) error {
 	requestID := strings.Clone(c.Get(native.HeaderRequestID))
 	if requestID == "" {
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// sendJSON sends a non-streamed response when all tokens are generated.
+// sendJSON sends a non-streamed response once all tokens are generated.
 func (s *Server) sendJSON(c *fiber.Ctx, seq *sequence) error {
 	defer s.scheduler.cancel(seq.attemptID)
 	for sent, ended := 0, false; sent < len(seq.answer); {
--- a/internal/enginestub/events.go
+++ b/internal/enginestub/events.go
@@ -15,7 +15,7 @@
 // server reads from it as fast as the connection allows.
 type eventReader struct {
 	seq         *sequence
-	sent        int // encoded tokens
+	sent        int // number of tokens encoded or skipped so far
 	chunkTokens int
 	chunkPrefix []byte // JSON of every chunk before its choices
 	buf         []byte
@@ -55,8 +55,8 @@
 	generated, ended := r.seq.progress.wait(min(r.sent+r.chunkTokens, len(r.seq.answer)) - 1)
 	total := len(r.seq.answer)
 	r.buf = r.buf[:0]
-	// Only the last chunk may have fewer than chunkTokens tokens: the event ID determines the
-	// number of tokens sent before.
+	// Only the last chunk may have fewer than chunkTokens tokens, because a resumed stream
+	// computes the number of tokens to skip from the ID of the last event.
 	for (generated-r.sent >= r.chunkTokens || generated == total && r.sent < total) && len(r.buf) < batchBytes {
 		r.appendChunk(min(r.chunkTokens, generated-r.sent))
 	}
--- a/internal/enginestub/evidence.go
+++ b/internal/enginestub/evidence.go
@@ -17,7 +17,7 @@
 	processStarted   activityKind = "started"
 	rateLimitChanged activityKind = "limit_named"
 	requestArrived   activityKind = "arrived"
-	requestAnswered  activityKind = "answered" // the response header was sent
+	requestAnswered  activityKind = "answered" // logged just before the response header is sent
 	runStarted       activityKind = "run_began"
 )
 
@@ -30,7 +30,7 @@
 }
 
 // activityLogger writes each activity when it happens: records in memory would be lost if the
-// process is killed.
+// process were killed.
 type activityLogger struct {
 	mu sync.Mutex
 	w  io.Writer // nil disables the log
@@ -81,7 +81,7 @@
 		}
 		activity.add(record)
 	}
-	return activity, errors.Wrap(scanner.Err(), "evidence")
+	return activity, errors.Wrap(scanner.Err(), "read activity log")
 }
 
 // add adds a record to the newest process.
@@ -100,9 +100,9 @@
 }
 
 // markAnswered sets the answer time of the request's newest arrival that has none yet.
-func (r *ProcessActivity) markAnswered(request string, at time.Time) {
-	for i := len(r.Arrivals) - 1; i >= 0; i-- {
-		if a := &r.Arrivals[i]; a.Request == request && a.Answered.IsZero() {
+func (p *ProcessActivity) markAnswered(request string, at time.Time) {
+	for i := len(p.Arrivals) - 1; i >= 0; i-- {
+		if a := &p.Arrivals[i]; a.Request == request && a.Answered.IsZero() {
 			a.Answered = at
 			return
 		}
--- a/internal/enginestub/httpserver.go
+++ b/internal/enginestub/httpserver.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	maxBodyBytes     = 16 << 20
-	idleTimeout      = time.Minute
-	shutdownDeadline = 2 * time.Second
+	maxBodyBytes    = 16 << 20
+	idleTimeout     = time.Minute
+	shutdownTimeout = 2 * time.Second
 )
 
 // httpServer serves a fiber app on one listener and can close all its connections at once to
@@ -86,10 +86,10 @@
 	clear(h.conns)
 }
 
-// Shutdown stops accepting connections and waits, up to limit, until all responses are sent.
+// Shutdown stops accepting connections and waits, up to timeout, until all responses are sent.
 // Close must be called afterwards.
-func (h *httpServer) Shutdown(limit time.Duration) error {
-	return errors.Wrap(h.app.ShutdownWithTimeout(limit), "shut down")
+func (h *httpServer) Shutdown(timeout time.Duration) error {
+	return errors.Wrap(h.app.ShutdownWithTimeout(timeout), "shut down")
 }
 
 // kill closes the listener and all connections at once.
@@ -105,7 +105,7 @@
 
 // shutdown stops the fiber app after kill.
 func (h *httpServer) shutdown() {
-	_ = h.app.ShutdownWithTimeout(shutdownDeadline)
+	_ = h.app.ShutdownWithTimeout(shutdownTimeout)
 }
 
 func (h *httpServer) isClosed() bool {
@@ -132,7 +132,7 @@
 	delete(h.conns, conn)
 }
 
-// trackedListener registers its connections at the server.
+// trackedListener registers its connections with the server.
 type trackedListener struct {
 	net.Listener
 	server *httpServer
--- a/internal/enginestub/prefixcache.go
+++ b/internal/enginestub/prefixcache.go
@@ -56,8 +56,8 @@
 	delete(c.blocks, oldest.Value.(uint64))
 }
 
-// prefixHashes returns a hash for each full block of the prompt. It covers the model, the block
-// and all blocks before it.
+// prefixHashes returns a hash for each full block of the prompt. Each hash covers the model, the
+// block and all blocks before it.
 func prefixHashes(model, prompt string, bytesPerToken int) []uint64 {
 	blockBytes := blockTokens * bytesPerToken
 	hashes := make([]uint64, 0, len(prompt)/blockBytes)
--- a/internal/enginestub/ratelimit.go
+++ b/internal/enginestub/ratelimit.go
@@ -32,7 +32,7 @@
 type Arrival struct {
 	Request string // request ID
 	At      time.Time
-	// Answered is the time when the response header was sent; zero: never.
+	// Answered is the time just before the response header was sent; zero: never.
 	Answered time.Time
 	// Limit is the rate limit advertised in the response; empty: none.
 	Limit string
--- a/internal/enginestub/runs.go
+++ b/internal/enginestub/runs.go
@@ -42,8 +42,8 @@
 
 // runLog records all attempts for reconciliation with the charged tokens.
 type runLog struct {
-	requestIDs []string // in the order of first arrival
-	attempts   map[string][]*AttemptRun
+	requestIDs []string                 // in the order of first arrival
+	attempts   map[string][]*AttemptRun // by request ID
 }
 
 func newRunLog() *runLog {
--- a/internal/enginestub/submit.go
+++ b/internal/enginestub/submit.go
@@ -56,8 +56,8 @@
 	return seq
 }
 
-// crashTokenCount returns the number of generated tokens at which seq crashes the engine, at
-// most all but the last; -1 if it does not.
+// crashTokenCount returns the number of generated tokens at which seq crashes the engine, or -1
+// if it does not. The engine never generates the last token before it crashes.
 func (s *scheduler) crashTokenCount(seq *sequence) int {
 	if s.cfg.CrashMarker == "" || !strings.Contains(seq.req.prompt, s.cfg.CrashMarker) {
 		return -1
@@ -81,8 +81,8 @@
 	}
 }
 
-// cancel stops an attempt, frees its slot and forgets it. For a finished attempt it only forgets
-// it.
+// cancel removes an attempt from the scheduler. An attempt that has not finished ends and frees
+// its slot.
 func (s *scheduler) cancel(attemptID string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
