--- a/cmd/chicory-load/run.go
+++ b/cmd/chicory-load/run.go
@@ -119,9 +119,9 @@
 	return load.NewCaller(client, caches, retryPolicy(o), nil)
 }
 
-// newSources returns the sources against which answers are checked. It must be called before
-// the load starts: it records the runs that the engines already report, so that these are not
-// attributed to the load.
+// newSources returns the sources of the evidence against which answers are checked. It must be
+// called before the load starts: it records the runs that the engines already report, so that
+// these are not attributed to the load.
 func newSources(o *options, client *load.Client) (load.Sources, error) {
 	sources := load.Sources{
 		Engines:  splitList(o.engines),
--- a/cmd/chicory-platform/main.go
+++ b/cmd/chicory-platform/main.go
@@ -37,7 +37,7 @@
 const lostResponseShare = 0.4
 
 // loseSomeResponses leaves some writes unanswered. Of these, a third are applied at once, a
-// third are applied later, and a third are dropped.
+// third are delayed until POST /stand-in/answer, and a third are dropped.
 func loseSomeResponses(store.Txn) memstore.Outcome {
 	if rand.Float64() >= lostResponseShare {
 		return memstore.Answered
