--- a/internal/enginestub/answer.go
+++ b/internal/enginestub/answer.go
@@ -55,22 +55,22 @@
 // chat-completions request body. They depend only on the model and on the roles and content of
 // the messages. If maxTokens is positive, it truncates the answer. For an invalid body there
 // are no tokens.
-func Answer(model string, body []byte, maxTokens int) (tokens []string, finish string) {
+func Answer(model string, body []byte, maxTokens int) (tokens []string, finishReason string) {
 	req, err := parseRequest(body)
 	if err != nil {
 		return nil, ""
 	}
 	req.model = model
-	indexes, finish := req.answer(maxTokens)
+	indexes, finishReason := req.answer(maxTokens)
 	tokens = make([]string, len(indexes))
 	for i, index := range indexes {
 		tokens[i] = vocabulary[index]
 	}
-	return tokens, finish
+	return tokens, finishReason
 }
 
 // answer returns the answer's tokens as indexes into the vocabulary.
-func (r *request) answer(maxTokens int) (indexes []uint8, finish string) {
+func (r *request) answer(maxTokens int) (indexes []uint8, finishReason string) {
 	seed := xxhash.Sum64String(r.model + "\x00" + r.prompt)
 	rng := rand.New(rand.NewPCG(seed, ^seed))
 	length := minAnswerTokens + rng.IntN(maxAnswerTokens-minAnswerTokens)
@@ -78,16 +78,16 @@
 	if ok {
 		length = fixed
 	}
-	finish = FinishStop
+	finishReason = FinishStop
 	if maxTokens > 0 && length > maxTokens {
 		length = maxTokens
-		finish = FinishLength
+		finishReason = FinishLength
 	}
 	indexes = make([]uint8, length)
 	for i := range indexes {
 		indexes[i] = uint8(rng.IntN(len(vocabulary)))
 	}
-	return indexes, finish
+	return indexes, finishReason
 }
 
 // fixedLength returns the N of the last "len=N" in the prompt.
--- a/internal/enginestub/enginestub_test.go
+++ b/internal/enginestub/enginestub_test.go
@@ -48,12 +48,12 @@
 		full, _ := Answer("m", []byte(`{"messages":[`+message+`]}`), 0)
 		limit := rapid.IntRange(1, 300).Draw(t, "limit")
 		body := `{"user":"u","max_tokens":5,"stream":true,"model":"other","messages":[` + message + `]}`
-		truncated, finish := Answer("m", []byte(body), limit)
+		truncated, finishReason := Answer("m", []byte(body), limit)
 		if strings.Join(truncated, "|") != strings.Join(full[:min(limit, len(full))], "|") {
 			t.Fatalf("%q is no prefix of %q", truncated, full)
 		}
-		if (finish == FinishLength) != (limit < len(full)) {
-			t.Fatalf("%s with %d tokens of %d", finish, limit, len(full))
+		if (finishReason == FinishLength) != (limit < len(full)) {
+			t.Fatalf("%s with %d tokens of %d", finishReason, limit, len(full))
 		}
 	})
 	c := qt.New(t)
--- a/internal/enginestub/sequence.go
+++ b/internal/enginestub/sequence.go
@@ -63,8 +63,8 @@
 	if tokenTime == 0 {
 		return min(s.run.Tokens+untimedStepTokens, len(s.answer))
 	}
-	steps := 1 + int(now.Sub(s.prefillEnd)/tokenTime)
-	return min(steps, len(s.answer))
+	due := 1 + int(now.Sub(s.prefillEnd)/tokenTime)
+	return min(due, len(s.answer))
 }
 
 // nextDue returns the time when the next token is due.
--- a/internal/load/errors.go
+++ b/internal/load/errors.go
@@ -23,8 +23,8 @@
 	ErrInvalidEntry = errors.New("load: invalid entry response")
 	// ErrLineTooLong means that a line of a stream is longer than maxLineBytes.
 	ErrLineTooLong = errors.New("load: stream line too long")
-	// ErrInvalidConfig means that a workload, a pace or the number of targets is not valid.
-	ErrInvalidConfig = errors.New("load: invalid options")
+	// ErrInvalidConfig means that a workload, a pace or the number of targets is invalid.
+	ErrInvalidConfig = errors.New("load: invalid configuration")
 )
 
 // Refusal is an error response, or an error event within a stream. Status is 200 for an
--- a/internal/load/money.go
+++ b/internal/load/money.go
@@ -27,9 +27,9 @@
 const causeBudgetExhausted = "budget_exhausted"
 
 // checkBudgetRefusals counts refusals for lack of budget that were certainly false.
-// Budgets are not topped up during a run, so tokens that are not granted at its end were
-// available at the refusal. The account of a key is not known here, so a refusal counts
-// only if every account had enough tokens left.
+// Budgets are not topped up during a load run, so tokens that are not granted at its end
+// were available at the refusal. It is not known here which account an API key belongs to,
+// so a refusal counts only if every account had enough tokens left.
 func (r *Reconciliation) checkBudgetRefusals(outcomes []Outcome, budgets []Budget) {
 	if len(budgets) == 0 {
 		return
--- a/internal/load/reconcile.go
+++ b/internal/load/reconcile.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// Evidence is what engines, services and the store report about a run. A nil field was
+// Evidence is what engines, services and the store report about a load run. A nil field was
 // not read and is not checked.
 type Evidence struct {
 	EngineRuns  map[string]int // runs started by engines, by request ID
@@ -48,7 +48,7 @@
 	}
 }
 
-// Reconcile checks the outcomes of a run against the evidence. direct holds the outcomes
+// Reconcile checks the outcomes of a load run against the evidence. direct holds the outcomes
 // of requests sent to an engine without a router, whose runs engines report as well.
 func Reconcile(outcomes, direct []Outcome, evidence Evidence) *Reconciliation {
 	r := &Reconciliation{}
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -110,8 +110,8 @@
 	}
 	r.tokens += result.Usage.CompletionTokens
 	record(r.timeToFirstToken, result.TimeToFirstToken)
-	for _, gap := range result.InterTokenTimes {
-		record(r.interTokenTime, gap)
+	for _, interTokenTime := range result.InterTokenTimes {
+		record(r.interTokenTime, interTokenTime)
 	}
 }
 
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// Run holds the results of a finished run.
+// Run holds the results of a finished load run.
 type Run struct {
 	Elapsed   time.Duration
 	targets   []Target
@@ -17,7 +17,7 @@
 	pairs     *pairRecorder
 }
 
-// Report is the result of a run.
+// Report summarizes a load run.
 type Report struct {
 	ElapsedSeconds float64         `json:"elapsed_seconds"`
 	Targets        []TargetReport  `json:"targets"`
--- a/internal/load/turns.go
+++ b/internal/load/turns.go
@@ -8,7 +8,7 @@
 	cache      *AddressCache
 	offset     int // index of the address to begin at, modulo their number
 	tried      []string
-	hasUntried bool // whether an address is untried
+	hasUntried bool // whether an address was still untried after the latest call of next
 }
 
 func (p *addressPicker) next() (string, error) {
--- a/internal/load/workload.go
+++ b/internal/load/workload.go
@@ -15,7 +15,7 @@
 
 // AnswerFunc returns the tokens and the finish reason that an engine must produce for a
 // chat-completions body, as enginestub.Answer does.
-type AnswerFunc func(model string, body []byte, maxTokens int) (tokens []string, finish string)
+type AnswerFunc func(model string, body []byte, maxTokens int) (tokens []string, finishReason string)
 
 // Kind is the kind of a request.
 type Kind int
@@ -135,8 +135,8 @@
 	req.Kind = KindCompletion
 	req.Path = "/v1/chat/completions"
 	req.Body = mustMarshal(body)
-	tokens, finish := w.cfg.Answer(w.cfg.Model, req.Body, outputTokens)
-	req.Want = Expected{Text: strings.Join(tokens, ""), FinishReason: finish, Tokens: len(tokens)}
+	tokens, finishReason := w.cfg.Answer(w.cfg.Model, req.Body, outputTokens)
+	req.Want = Expected{Text: strings.Join(tokens, ""), FinishReason: finishReason, Tokens: len(tokens)}
 }
 
 // confirmBody is the body of a confirm call. The answer repeats its id, which is the
