--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,5 +1,5 @@
-// Package dev runs a whole small fleet in one process on loopback, on a store in
-// memory: for a first look and for tests of the whole path.
+// Package dev runs a complete small fleet in one process on the loopback interface, with
+// an in-memory store. It serves demonstrations and end-to-end tests.
 package dev
 
 import (
@@ -28,34 +28,34 @@
 	"chicorytiller.example/chicorytiller/internal/store/memstore"
 )
 
-// Options size the fleet.
+// Options configure the fleet.
 type Options struct {
-	Routers         int           // spread over the failure domains
-	Engines         int           // likewise
-	Slots           int           // of each engine
-	TokenTime       time.Duration // between two tokens of an engine
-	FirstPort       int           // port of the first router's callers' listener; 0: any free ones
-	StorePort       int           // port of the store; 0: a free one
-	GracePeriod     time.Duration // of a planned stop; 0: graceDefault
-	Log             io.Writer     // events of all routers
+	Routers         int           // number of routers, spread over the failure domains
+	Engines         int           // number of engines, spread over the failure domains
+	Slots           int           // requests that one engine runs concurrently
+	TokenTime       time.Duration // time between two tokens of an engine
+	FirstPort       int           // caller port of the first router, the others follow; 0 picks free ports
+	StorePort       int           // port of the store; 0 picks a free port
+	GracePeriod     time.Duration // time limit of a graceful shutdown; 0 means defaultGracePeriod
+	Log             io.Writer     // event log of all routers
 	NewStoreHandler func(store.Store) http.Handler
-	// OpenStore connects a router to the store at an address.
+	// OpenStore returns a client of the store at address.
 	OpenStore func(address string) store.Store
 }
 
-// Names and sizes of the example.
+// Names and sizes of the example fleet.
 const (
 	Model       id.Model   = "chicory-small"
 	ServiceName id.Service = "register"
 
-	examplePrepaid id.Tokens = 5_000_000
-	examplePrice   id.Tokens = 10
-	exampleAddress           = "127.0.0.1"
-	startPoll                = 20 * time.Millisecond
-	graceDefault             = 8 * time.Second
+	prepaidTokens      id.Tokens = 5_000_000
+	pricePerCall       id.Tokens = 10
+	loopbackHost                 = "127.0.0.1"
+	pollInterval                 = 20 * time.Millisecond
+	defaultGracePeriod           = 8 * time.Second
 )
 
-// FailureDomains of the example.
+// FailureDomains are the failure domains of the example fleet.
 var FailureDomains = []id.FailureDomain{"holesovice", "smichov", "karlin"}
 
 // Fleet is a running fleet.
@@ -64,24 +64,24 @@
 	Engines   []*enginestub.Server
 	Service   *enginestub.Service
 	Store     *memstore.Store
-	StoreAddr string // address of the store's calls
+	StoreAddr string // IP:port of the store's API
 	Accounts  []Account
 
-	options   Options
-	addresses []string // of the engines, then of the service
-	storeHTTP *http.Server
-	stops     []context.CancelFunc // of the routers
-	routing   conc.WaitGroup
-	serving   conc.WaitGroup // of the store and the backend servers, which outlive the routers
+	options      Options
+	backendAddrs []string // of the engines, then the service
+	storeServer  *http.Server
+	stopFuncs    []context.CancelFunc // of the routers
+	routerGroup  conc.WaitGroup
+	serverGroup  conc.WaitGroup // the store and the backend servers, which stop after the routers
 }
 
-// Account is a client account of the example with its caller's key.
+// Account is a client account of the example fleet and its API key.
 type Account struct {
 	Name id.ClientAccount
 	Key  string
 }
 
-// Start starts a fleet and waits until every router serves.
+// Start starts a fleet and waits until every router is ready.
 func Start(options Options) (*Fleet, error) {
 	f := &Fleet{options: options, Store: memstore.New(nil)}
 	for _, step := range []func() error{f.startStore, f.startBackends, f.configure, f.startRouters} {
@@ -94,22 +94,22 @@
 	return f, nil
 }
 
-// Stop stops all routers as planned, then the rest.
+// Stop shuts all routers down gracefully, then closes the backend servers and the store.
 func (f *Fleet) Stop() {
-	for _, stop := range f.stops {
+	for _, stop := range f.stopFuncs {
 		stop()
 	}
-	f.routing.Wait()
+	f.routerGroup.Wait()
 	for _, e := range f.Engines {
 		e.Close()
 	}
 	if f.Service != nil {
 		f.Service.Close()
 	}
-	if f.storeHTTP != nil {
-		_ = f.storeHTTP.Close() // the process ends
+	if f.storeServer != nil {
+		_ = f.storeServer.Close() // nothing uses the store any more
 	}
-	f.serving.Wait()
+	f.serverGroup.Wait()
 }
 
 func (f *Fleet) startStore() error {
@@ -118,51 +118,51 @@
 		return err
 	}
 	f.StoreAddr = listener.Addr().String()
-	f.storeHTTP = &http.Server{Handler: f.options.NewStoreHandler(f.Store), ReadHeaderTimeout: time.Second}
-	f.serving.Go(func() { _ = f.storeHTTP.Serve(listener) }) // ends with Stop
+	f.storeServer = &http.Server{Handler: f.options.NewStoreHandler(f.Store), ReadHeaderTimeout: time.Second}
+	f.serverGroup.Go(func() { _ = f.storeServer.Serve(listener) }) // returns after Stop
 	return nil
 }
 
 func (f *Fleet) startBackends() error {
 	for i := range f.options.Engines {
 		engine := enginestub.New(enginestub.Config{
-			ID: engineName(i), Models: []string{string(Model)}, Slots: f.options.Slots, TokenTime: f.options.TokenTime,
+			ID: engineID(i), Models: []string{string(Model)}, Slots: f.options.Slots, TokenTime: f.options.TokenTime,
 		})
 		f.Engines = append(f.Engines, engine)
-		if err := f.serve(engine.Serve); err != nil {
+		if err := f.listenAndServe(engine.Serve); err != nil {
 			return err
 		}
 	}
-	f.Service = enginestub.NewService(enginestub.ServiceConfig{ID: serviceBackend})
-	return f.serve(f.Service.Serve)
+	f.Service = enginestub.NewService(enginestub.ServiceConfig{ID: serviceID})
+	return f.listenAndServe(f.Service.Serve)
 }
 
-const serviceBackend = "register-1"
+const serviceID = "register-1"
 
-func engineName(i int) string {
+func engineID(i int) string {
 	return fmt.Sprintf("engine-%d", i+1)
 }
 
-func (f *Fleet) serve(serve func(net.Listener) error) error {
+func (f *Fleet) listenAndServe(serve func(net.Listener) error) error {
 	listener, err := listen(0)
 	if err != nil {
 		return err
 	}
-	f.serving.Go(func() { _ = serve(listener) }) // ends with Stop
-	f.addresses = append(f.addresses, listener.Addr().String())
+	f.serverGroup.Go(func() { _ = serve(listener) }) // returns after Stop
+	f.backendAddrs = append(f.backendAddrs, listener.Addr().String())
 	return nil
 }
 
 func listen(port int) (net.Listener, error) {
-	listener, err := net.Listen("tcp", fmt.Sprintf("%s:%d", exampleAddress, port))
+	listener, err := net.Listen("tcp", fmt.Sprintf("%s:%d", loopbackHost, port))
 	return listener, errors.Wrap(err, "dev")
 }
 
-// configure writes the document and registers the backend servers.
+// configure writes the configuration document and registers the backend servers.
 func (f *Fleet) configure() error {
 	d := &native.Document{
 		Models: []contract.Model{{Name: Model, BytesPerToken: 4, ContextTokens: 32_768, TokensPerEvent: 1, Attempts: 3}},
-		Services: []contract.Service{{Name: ServiceName, NonIdempotent: []string{"POST /confirm"}, PricePerCall: examplePrice,
+		Services: []contract.Service{{Name: ServiceName, NonIdempotent: []string{"POST /confirm"}, PricePerCall: pricePerCall,
 			TimeoutMS: 5000, Attempts: 2}},
 	}
 	for _, name := range []id.ClientAccount{"boatyard", "harbour"} {
@@ -177,14 +177,14 @@
 		return err
 	}
 	for i := range f.Engines {
-		b := contract.BackendServer{ID: id.Backend(engineName(i)), Kind: contract.KindEngine, Address: f.addresses[i],
+		b := contract.BackendServer{ID: id.Backend(engineID(i)), Kind: contract.KindEngine, Address: f.backendAddrs[i],
 			FailureDomain: domain(i), Models: []id.Model{Model}}
 		if err := operate.Register(ctx, f.Store, b); err != nil {
 			return err
 		}
 	}
-	return operate.Register(ctx, f.Store, contract.BackendServer{ID: serviceBackend, Kind: contract.KindService,
-		Address: f.addresses[len(f.Engines)], FailureDomain: domain(0), Service: ServiceName})
+	return operate.Register(ctx, f.Store, contract.BackendServer{ID: serviceID, Kind: contract.KindService,
+		Address: f.backendAddrs[len(f.Engines)], FailureDomain: domain(0), Service: ServiceName})
 }
 
 func (f *Fleet) newContract(name id.ClientAccount) (contract.Contract, error) {
@@ -194,7 +194,7 @@
 	}
 	f.Accounts = append(f.Accounts, Account{Name: name, Key: key})
 	return contract.Contract{
-		Account: name, Keys: []contract.KeyHash{hash}, Prepaid: examplePrepaid,
+		Account: name, Keys: []contract.KeyHash{hash}, Prepaid: prepaidTokens,
 		RequestsPerSecond: 2000, Burst: 2000, Concurrency: 2000, Priority: 5,
 		Models: []id.Model{Model}, Services: []id.Service{ServiceName}, MaxTokens: 4096, DeadlineMS: 30_000,
 	}, nil
@@ -213,7 +213,7 @@
 	return nil
 }
 
-// StartRouter starts the router with a number, also a second time after it stopped.
+// StartRouter starts router i. A router that has stopped can be started again.
 func (f *Fleet) StartRouter(i int) error {
 	clock, err := escrow.SystemClock()
 	if err != nil {
@@ -227,35 +227,35 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	if i == len(f.Routers) {
-		f.Routers, f.stops = append(f.Routers, r), append(f.stops, stop)
+		f.Routers, f.stopFuncs = append(f.Routers, r), append(f.stopFuncs, stop)
 	}
-	f.Routers[i], f.stops[i] = r, stop
-	f.routing.Go(func() { r.Run(ctx) })
+	f.Routers[i], f.stopFuncs[i] = r, stop
+	f.routerGroup.Go(func() { r.Run(ctx) })
 	return nil
 }
 
 func (f *Fleet) routerSettings(i int) *node.Settings {
-	any := exampleAddress + ":0"
+	anyPort := loopbackHost + ":0"
 	s := &node.Settings{
 		VM: fmt.Sprintf("entry-%d", i+1), FailureDomain: string(domain(i)),
-		CallerAddr: any, ReadyAddr: any, DirectoryAddr: any, MetricsAddr: any, PeerAddr: any, StoreAddr: f.StoreAddr,
+		CallerAddr: anyPort, ReadyAddr: anyPort, DirectoryAddr: anyPort, MetricsAddr: anyPort, PeerAddr: anyPort, StoreAddr: f.StoreAddr,
 		DrainTime: 2 * time.Second, GracePeriod: f.options.GracePeriod, EntryTTL: time.Second,
 		RetryRatio: 0.2, RetryExtra: 50, RetryWindow: 10 * time.Second,
 	}
 	if f.options.FirstPort > 0 {
-		s.CallerAddr = fmt.Sprintf("%s:%d", exampleAddress, f.options.FirstPort+i)
+		s.CallerAddr = fmt.Sprintf("%s:%d", loopbackHost, f.options.FirstPort+i)
 	}
 	if s.GracePeriod == 0 {
-		s.GracePeriod = graceDefault
+		s.GracePeriod = defaultGracePeriod
 	}
 	return s
 }
 
-// awaitReady waits until every router takes callers.
+// awaitReady waits until every router is ready for callers.
 func (f *Fleet) awaitReady() {
 	for _, r := range f.Routers {
 		for !r.Ready() {
-			time.Sleep(startPoll)
+			time.Sleep(pollInterval)
 		}
 	}
 }
--- a/internal/dev/guide.go
+++ b/internal/dev/guide.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// PrintGuide writes the addresses and calls to copy and paste.
+// PrintGuide writes the fleet's addresses and API keys, and example commands.
 func (f *Fleet) PrintGuide(w io.Writer) {
 	first := f.Routers[0].Settings().CallerAddr
 	account := f.Accounts[0]
