--- a/internal/soak/engines.go
+++ b/internal/soak/engines.go
@@ -14,47 +14,48 @@
 )
 
 const (
-	// engineDeathEvery is the mean time between two deaths of engines, and deadShortest and
-	// deadLongest bound how long one is gone.
-	engineDeathEvery          = 5 * time.Second
-	deadShortest, deadLongest = 50 * time.Millisecond, 2 * time.Second
+	// meanEngineKillInterval is the mean time between two kills of engines. minEngineDowntime
+	// and maxEngineDowntime bound the time until a killed engine is started again.
+	meanEngineKillInterval               = 5 * time.Second
+	minEngineDowntime, maxEngineDowntime = 50 * time.Millisecond, 2 * time.Second
 )
 
-// planEngineDeaths draws engines that are killed and start again at their address, also while they
-// name a limit. It has random numbers of its own, so that a seed's other faults stay what they were.
-func (f *fleet) planEngineDeaths(seed uint64, duration time.Duration) []fault {
-	random := rand.New(rand.NewPCG(^seed, ^seed))
-	var plan []fault
-	for range int(duration / engineDeathEvery) {
-		at := time.Duration(random.Int64N(int64(duration)))
-		engine := f.engines[random.IntN(len(f.engines))]
-		dead := deadShortest + time.Duration(random.Int64N(int64(deadLongest-deadShortest)))
-		plan = append(plan, fault{at: at, name: fmt.Sprintf("%s killed", engine.name), do: func(ctx context.Context) {
-			engine.down(ctx, dead, syscall.SIGKILL, true)
+// planEngineKills draws faults that kill an engine and start it again at its address, also
+// while it reports a rate limit. It has its own random generator, so that it doesn't change
+// the other faults of a seed.
+func (f *fleet) planEngineKills(seed uint64, duration time.Duration) []fault {
+	rng := rand.New(rand.NewPCG(^seed, ^seed))
+	var faults []fault
+	for range int(duration / meanEngineKillInterval) {
+		offset := time.Duration(rng.Int64N(int64(duration)))
+		engine := f.engines[rng.IntN(len(f.engines))]
+		downtime := minEngineDowntime + time.Duration(rng.Int64N(int64(maxEngineDowntime-minEngineDowntime)))
+		faults = append(faults, fault{offset: offset, name: fmt.Sprintf("%s killed", engine.name), run: func(ctx context.Context) {
+			engine.restart(ctx, downtime, syscall.SIGKILL, true)
 		}})
 	}
-	return plan
+	return faults
 }
 
-// evidenceOf reads what the processes of an engine did.
-func (f *fleet) evidenceOf(engine int) (enginestub.ActivityLog, error) {
-	file, err := os.Open(f.evidence[engine])
+// activityLog reads the activity log of an engine, which covers all its processes.
+func (f *fleet) activityLog(engine int) (enginestub.ActivityLog, error) {
+	file, err := os.Open(f.activityLogs[engine])
 	if err != nil {
 		return enginestub.ActivityLog{}, errors.Wrap(err, "evidence")
 	}
-	defer func() { _ = file.Close() }() // read to its end
+	defer func() { _ = file.Close() }() // read to EOF
 	return enginestub.ReadActivityLog(file)
 }
 
-// engineRuns counts the runs that began at all engines, by request.
+// engineRuns returns the number of runs that all engines started for each request.
 func (f *fleet) engineRuns() (map[string]int, error) {
 	runs := make(map[string]int)
 	for i := range f.engines {
-		evidence, err := f.evidenceOf(i)
+		activity, err := f.activityLog(i)
 		if err != nil {
 			return nil, err
 		}
-		for request, n := range evidence.Runs {
+		for request, n := range activity.Runs {
 			runs[request] += n
 		}
 	}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -22,106 +22,107 @@
 
 // Sizes of the fleet.
 const (
-	routers     = 3
-	engines     = 3
-	accounts    = 2
-	model       = "soak-model"
-	service     = "register"
-	prepaid     = 400_000
-	callPrice   = 10
-	routerPorts = 5
+	routerCount    = 3
+	engineCount    = 3
+	accountCount   = 2
+	model          = "soak-model"
+	service        = "register"
+	prepaidTokens  = 400_000
+	pricePerCall   = 10
+	portsPerRouter = 5
 )
 
-// router is one router process with what the soak harms about it.
+// router is one router process and the proxy in front of its store.
 type router struct {
 	*process
-	callers, ready string
-	store          *proxy // its way to the store
+	callerAddr, readyAddr string
+	storeProxy            *proxy // between the router and the store
 }
 
-// fleet is all processes of one run.
+// fleet holds all processes and proxies of one run.
 type fleet struct {
-	dir      string
-	store    store.Store // straight, past all proxies
-	storeAt  string
-	platform *process
-	engines  []*process
-	engineAt []string // straight
-	evidence []string // files that the engines write
-	proxies  []*proxy // before the engines
-	service  *process
-	callsAt  string
-	routers  []*router
-	keys     []string
+	dir           string
+	store         store.Store // direct client, not through a proxy
+	storeAddr     string
+	storeStub     *process
+	engines       []*process
+	engineAddrs   []string // direct, not through engineProxies
+	activityLogs  []string // paths, one for each engine
+	engineProxies []*proxy // one in front of each engine
+	service       *process
+	serviceAddr   string
+	routers       []*router
+	keys          []string
 }
 
-// build starts a fleet from the programs in a directory.
-func build(o Options, dir string) (*fleet, error) {
+// startFleet starts a fleet that keeps its settings and logs in dir.
+func startFleet(o Options, dir string) (*fleet, error) {
 	f := &fleet{dir: dir}
 	for _, step := range []func(Options) error{f.startStore, f.startBackends, f.configure, f.startRouters} {
 		if err := step(o); err != nil {
-			f.end()
+			f.close()
 			return nil, err
 		}
 	}
 	return f, nil
 }
 
-func (f *fleet) program(o Options, name, program string, args ...string) *process {
-	return &process{name: name, path: filepath.Join(o.ProgramDir, program), args: args, log: logFile(f.dir, name)}
+func (f *fleet) newProcess(o Options, name, program string, args ...string) *process {
+	return &process{name: name, path: filepath.Join(o.ProgramDir, program), args: args, logPath: logPath(f.dir, name)}
 }
 
 func (f *fleet) startStore(o Options) error {
-	f.platform = f.program(o, "store", "chicory-platform")
-	line, err := f.platform.start(true)
-	f.storeAt = strings.TrimSpace(line)
-	f.store = o.OpenStore(f.storeAt)
+	f.storeStub = f.newProcess(o, "store", "chicory-platform")
+	line, err := f.storeStub.start(true)
+	f.storeAddr = strings.TrimSpace(line)
+	f.store = o.OpenStore(f.storeAddr)
 	return err
 }
 
 func (f *fleet) startBackends(o Options) error {
-	ports, err := freePorts(engines)
+	addresses, err := freeAddresses(engineCount)
 	if err != nil {
 		return err
 	}
-	for i, address := range ports {
+	for i, address := range addresses {
 		name := fmt.Sprintf("engine-%d", i+1)
-		evidence := filepath.Join(f.dir, name+".evidence")
-		p := f.program(o, name, "chicory-engine", "--id", name, "--model", model, "--slots", "16", "--token-time", "3ms",
-			"--listen", address, "--evidence", evidence)
+		activityLogPath := filepath.Join(f.dir, name+".evidence")
+		p := f.newProcess(o, name, "chicory-engine", "--id", name, "--model", model, "--slots", "16", "--token-time", "3ms",
+			"--listen", address, "--evidence", activityLogPath)
 		if _, err := p.start(true); err != nil {
 			return err
 		}
 		f.engines = append(f.engines, p)
-		f.engineAt = append(f.engineAt, address)
-		f.evidence = append(f.evidence, evidence)
-		before, err := newProxy(address)
+		f.engineAddrs = append(f.engineAddrs, address)
+		f.activityLogs = append(f.activityLogs, activityLogPath)
+		engineProxy, err := newProxy(address)
 		if err != nil {
 			return err
 		}
-		f.proxies = append(f.proxies, before)
+		f.engineProxies = append(f.engineProxies, engineProxy)
 	}
-	f.service = f.program(o, "service", "chicory-engine", "--kind", "service", "--id", "register-1", "--delay", "5ms")
+	f.service = f.newProcess(o, "service", "chicory-engine", "--kind", "service", "--id", "register-1", "--delay", "5ms")
 	line, err := f.service.start(true)
-	f.callsAt = strings.TrimSpace(line)
+	f.serviceAddr = strings.TrimSpace(line)
 	return err
 }
 
-// configure writes the document and registers the backend servers behind their proxies.
+// configure writes the configuration document and registers the backend servers. The engines
+// are registered at the addresses of their proxies.
 func (f *fleet) configure(Options) error {
 	d := &native.Document{
 		Models: []contract.Model{{Name: model, BytesPerToken: 4, ContextTokens: 8192, TokensPerEvent: 1, Attempts: 3}},
-		Services: []contract.Service{{Name: service, NonIdempotent: []string{"POST /confirm"}, PricePerCall: callPrice,
+		Services: []contract.Service{{Name: service, NonIdempotent: []string{"POST /confirm"}, PricePerCall: pricePerCall,
 			TimeoutMS: 4000, Attempts: 2}},
 	}
-	for i := range accounts {
+	for i := range accountCount {
 		key, hash, err := contract.GenerateKey(rand.Reader)
 		if err != nil {
 			return err
 		}
 		f.keys = append(f.keys, key)
 		d.Contracts = append(d.Contracts, contract.Contract{
-			Account: id.ClientAccount(fmt.Sprintf("account-%d", i+1)), Keys: []contract.KeyHash{hash}, Prepaid: prepaid,
+			Account: id.ClientAccount(fmt.Sprintf("account-%d", i+1)), Keys: []contract.KeyHash{hash}, Prepaid: prepaidTokens,
 			RequestsPerSecond: 5000, Burst: 5000, Concurrency: 5000, Priority: 5,
 			Models: []id.Model{model}, Services: []id.Service{service}, MaxTokens: 1024, DeadlineMS: 8000,
 		})
@@ -130,7 +131,7 @@
 	if err := operate.Replace(ctx, f.store, d); err != nil {
 		return err
 	}
-	for i, p := range f.proxies {
+	for i, p := range f.engineProxies {
 		b := contract.BackendServer{ID: id.Backend(f.engines[i].name), Kind: contract.KindEngine, Address: p.address(),
 			FailureDomain: domain(i), Models: []id.Model{model}}
 		if err := operate.Register(ctx, f.store, b); err != nil {
@@ -138,7 +139,7 @@
 		}
 	}
 	return operate.Register(ctx, f.store, contract.BackendServer{ID: "register-1", Kind: contract.KindService,
-		Address: f.callsAt, FailureDomain: domain(0), Service: service})
+		Address: f.serviceAddr, FailureDomain: domain(0), Service: service})
 }
 
 func domain(i int) id.FailureDomain {
@@ -146,27 +147,27 @@
 }
 
 func (f *fleet) startRouters(o Options) error {
-	ports, err := freePorts(routers * routerPorts)
+	addresses, err := freeAddresses(routerCount * portsPerRouter)
 	if err != nil {
 		return err
 	}
-	peers := make([]string, routers)
+	peers := make([]string, routerCount)
 	for i := range peers {
-		peers[i] = ports[i*routerPorts+3]
+		peers[i] = addresses[i*portsPerRouter+3]
 	}
-	for i := range routers {
-		before, err := newProxy(f.storeAt)
+	for i := range routerCount {
+		storeProxy, err := newProxy(f.storeAddr)
 		if err != nil {
 			return err
 		}
-		p := ports[i*routerPorts : (i+1)*routerPorts]
+		addrs := addresses[i*portsPerRouter : (i+1)*portsPerRouter]
 		file := filepath.Join(f.dir, fmt.Sprintf("router-%d.ini", i+1))
-		text := fmt.Sprintf(settingsText, i+1, domain(i), strings.Join(peers, ","), p[0], p[1], p[2], p[3], p[4], before.address())
-		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+		settings := fmt.Sprintf(settingsFormat, i+1, domain(i), strings.Join(peers, ","), addrs[0], addrs[1], addrs[2], addrs[3], addrs[4], storeProxy.address())
+		if err := os.WriteFile(file, []byte(settings), 0o600); err != nil {
 			return errors.Wrap(err, "settings")
 		}
-		r := &router{process: f.program(o, fmt.Sprintf("router-%d", i+1), "chicory-router", "--settings", file),
-			callers: p[0], ready: p[1], store: before}
+		r := &router{process: f.newProcess(o, fmt.Sprintf("router-%d", i+1), "chicory-router", "--settings", file),
+			callerAddr: addrs[0], readyAddr: addrs[1], storeProxy: storeProxy}
 		if _, err := r.start(false); err != nil {
 			return err
 		}
@@ -175,7 +176,7 @@
 	return nil
 }
 
-const settingsText = `[router]
+const settingsFormat = `[router]
 vm = vm-%d
 failure_domain = %s
 grace_s = 6
@@ -197,19 +198,20 @@
 window_s = 10
 `
 
-// freePorts finds addresses below the range that the kernel gives to connections, so
-// that a router which starts again finds its ports free.
-func freePorts(n int) ([]string, error) {
-	const first, last, apart = 18000, 30000, 3
+// freeAddresses returns n free loopback addresses. Their ports are below the kernel's
+// ephemeral range, so that no outgoing connection takes the port of a router while it
+// restarts.
+func freeAddresses(n int) ([]string, error) {
+	const firstPort, lastPort, processSpacing = 18000, 30000, 3
 	var free []string
-	offset := os.Getpid() * routers * routerPorts * apart % (last - first) // other soaks look elsewhere first
-	for i := 0; i < last-first && len(free) < n; i++ {
-		address := fmt.Sprintf("127.0.0.1:%d", first+(offset+i)%(last-first))
+	offset := os.Getpid() * routerCount * portsPerRouter * processSpacing % (lastPort - firstPort) // concurrent soaks start their search at other ports
+	for i := 0; i < lastPort-firstPort && len(free) < n; i++ {
+		address := fmt.Sprintf("127.0.0.1:%d", firstPort+(offset+i)%(lastPort-firstPort))
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
-			continue // taken by another program
+			continue // the port is in use
 		}
-		_ = listener.Close() // the router listens there
+		_ = listener.Close() // frees the port for the program that will listen on it
 		free = append(free, address)
 	}
 	if len(free) < n {
@@ -218,46 +220,47 @@
 	return free, nil
 }
 
-// awaitReady waits until a router takes callers, or ctx ends.
+// awaitReady waits until the router is ready for callers or ctx is done.
 func (r *router) awaitReady(ctx context.Context) error {
 	for ctx.Err() == nil {
-		response, err := http.Get("http://" + r.ready + "/ready")
+		response, err := http.Get("http://" + r.readyAddr + "/ready")
 		if err == nil {
-			_ = response.Body.Close() // its status is all that matters
+			_ = response.Body.Close() // only the status is needed
 			if response.StatusCode == http.StatusOK {
 				return nil
 			}
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
-	return errors.Errorf("%s is not ready in time", r.name)
+	return errors.Errorf("%s did not become ready in time", r.name)
 }
 
-// pollEvery is the pause between two looks at something that is awaited.
-const pollEvery = 20 * time.Millisecond
+// pollInterval is the time between two checks of an awaited condition.
+const pollInterval = 20 * time.Millisecond
 
-// storeOrder tells the store's stand-in what to do wrong.
-func (f *fleet) storeOrder(order string) error {
-	response, err := http.Post("http://"+f.storeAt+"/stand-in/"+order, "", nil)
+// sendStoreCommand makes the store stub start or stop a simulated failure.
+func (f *fleet) sendStoreCommand(command string) error {
+	response, err := http.Post("http://"+f.storeAddr+"/stand-in/"+command, "", nil)
 	if err != nil {
-		return errors.Wrap(err, "order to the store")
+		return errors.Wrap(err, "send command to store stub")
 	}
 	return response.Body.Close()
 }
 
-// end kills what still runs. Each process is known by its id; no other is touched.
-func (f *fleet) end() {
-	all := append([]*process{f.platform, f.service}, f.engines...)
+// close kills the processes that still run and closes the proxies. Processes are killed by
+// PID, so that no other process on the machine is affected.
+func (f *fleet) close() {
+	all := append([]*process{f.storeStub, f.service}, f.engines...)
 	for _, r := range f.routers {
 		all = append(all, r.process)
-		r.store.close()
+		r.storeProxy.close()
 	}
 	for _, p := range all {
 		if p != nil && p.cmd != nil {
 			p.kill()
 		}
 	}
-	for _, p := range f.proxies {
+	for _, p := range f.engineProxies {
 		p.close()
 	}
 }
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -18,84 +18,88 @@
 	"chicorytiller.example/chicorytiller/internal/enginestub"
 )
 
-// What a backend server that names a limit may get.
+// Rate limits that engines report, and the check that routers keep to them.
 const (
-	// limitsEvery is the mean time between two servers that begin to name a limit, and
-	// limitShortest and limitLongest bound for how long each limit is named.
-	limitsEvery                 = 6 * time.Second
-	limitShortest, limitLongest = 4 * time.Second, 9 * time.Second
-	// limitBinds is when a limit binds, after it was first named. A router is bound from
-	// limitTold on, after it passed on an answer that names it.
-	limitBinds = 3 * time.Second
-	limitTold  = 500 * time.Millisecond
-	// limitWindow is the time in which requests are counted. Allowed is limitOver times the
-	// limit, and limitExtra requests.
-	limitWindow = 4 * time.Second
-	limitOver   = 1.5
-	limitExtra  = 5
+	// meanLimitInterval is the mean time between the starts of two rate limits.
+	// minLimitDuration and maxLimitDuration bound how long an engine reports one limit.
+	meanLimitInterval                  = 6 * time.Second
+	minLimitDuration, maxLimitDuration = 4 * time.Second, 9 * time.Second
+	// limitCheckDelay is the time from the start of a limit until it is enforced by the check.
+	// Requests of a router process count from routerGracePeriod after the engine sent the
+	// process its first response that reports the limit.
+	limitCheckDelay   = 3 * time.Second
+	routerGracePeriod = 500 * time.Millisecond
+	// limitWindow is the length of the sliding window in which requests are counted. In each
+	// window, limitTolerance times the limit plus limitSlack requests are allowed.
+	limitWindow    = 4 * time.Second
+	limitTolerance = 1.5
+	limitSlack     = 5
 )
 
-// namedLimits are what servers name: usual ones, next to nothing, and no number.
-var namedLimits = []string{"0", "0.3", "1.2", "1.6", "4", "none of it"}
+// limitValues are the limits that engines report: usual values, very low ones and an invalid one.
+var limitValues = []string{"0", "0.3", "1.2", "1.6", "4", "none of it"}
 
-// planLimits draws servers that name limits, of which some change meanwhile. It has random
-// numbers of its own, so that a seed's other faults stay what they were.
+// planLimits draws faults that make an engine report a rate limit. About half of the limits
+// change before they end. It has its own random generator, so that it doesn't change the other
+// faults of a seed.
 func (f *fleet) planLimits(seed uint64, duration time.Duration) []fault {
-	random := rand.New(rand.NewPCG(^seed, seed))
-	var plan []fault
-	for range int(duration / limitsEvery) {
-		at := time.Duration(random.Int64N(int64(duration)))
-		engine := random.IntN(len(f.engines))
-		first, then := namedLimits[random.IntN(len(namedLimits))], namedLimits[random.IntN(len(namedLimits))]
-		lasts := limitShortest + time.Duration(random.Int64N(int64(limitLongest-limitShortest)))
-		changes := random.IntN(2) == 0
-		plan = append(plan, fault{at: at, name: fmt.Sprintf("%s names a limit of %q", f.engines[engine].name, first), do: func(ctx context.Context) {
-			f.nameLimit(engine, first)
-			sleep(ctx, lasts)
+	rng := rand.New(rand.NewPCG(^seed, seed))
+	var faults []fault
+	for range int(duration / meanLimitInterval) {
+		offset := time.Duration(rng.Int64N(int64(duration)))
+		engine := rng.IntN(len(f.engines))
+		initial, changed := limitValues[rng.IntN(len(limitValues))], limitValues[rng.IntN(len(limitValues))]
+		limitDuration := minLimitDuration + time.Duration(rng.Int64N(int64(maxLimitDuration-minLimitDuration)))
+		changes := rng.IntN(2) == 0
+		faults = append(faults, fault{offset: offset, name: fmt.Sprintf("%s names a limit of %q", f.engines[engine].name, initial), run: func(ctx context.Context) {
+			f.setLimit(engine, initial)
+			sleep(ctx, limitDuration)
 			if changes {
-				f.nameLimit(engine, then)
-				sleep(ctx, lasts)
+				f.setLimit(engine, changed)
+				sleep(ctx, limitDuration)
 			}
-			f.nameLimit(engine, "")
+			f.setLimit(engine, "")
 		}})
 	}
-	return plan
+	return faults
 }
 
-// nameLimit tells a stand-in which limit to name. One that is paused takes it later.
-func (f *fleet) nameLimit(engine int, limit string) {
-	response, err := http.Post("http://"+f.engineAt[engine]+enginestub.RateLimitPath, "text/plain", strings.NewReader(limit))
+// setLimit sets the rate limit that an engine reports; "" ends it. A paused engine applies it
+// after it resumes.
+func (f *fleet) setLimit(engine int, limit string) {
+	response, err := http.Post("http://"+f.engineAddrs[engine]+enginestub.RateLimitPath, "text/plain", strings.NewReader(limit))
 	if err == nil {
-		_ = response.Body.Close() // a stand-in that is gone shows in its end
+		_ = response.Body.Close() // if the engine exited unexpectedly, recordExit reports it
 	}
 }
 
-// judgeLimits holds what each process of a stand-in got against the limits that it named.
-func (f *fleet) judgeLimits() ([]string, error) {
-	routerOf, err := f.routersOfRequests()
+// checkLimits compares the requests that each engine process received with the rate limits
+// that it reported, and returns the violations.
+func (f *fleet) checkLimits() ([]string, error) {
+	routerByRequest, err := f.routersByRequest()
 	if err != nil {
 		return nil, err
 	}
-	var broken []string
+	var violations []string
 	for i := range f.engines {
-		evidence, err := f.evidenceOf(i)
+		activity, err := f.activityLog(i)
 		if err != nil {
 			return nil, err
 		}
-		for _, report := range evidence.Processes {
-			for _, over := range overruns(report, routerOf) {
-				broken = append(broken, f.engines[i].name+": "+over)
+		for _, process := range activity.Processes {
+			for _, violation := range limitViolations(process, routerByRequest) {
+				violations = append(violations, f.engines[i].name+": "+violation)
 			}
 		}
 	}
-	return broken, nil
+	return violations, nil
 }
 
-// routersOfRequests reads from the routers' logs which process served each request.
-func (f *fleet) routersOfRequests() (map[string]string, error) {
-	routerOf := make(map[string]string)
+// routersByRequest returns which router process served each request, from the routers' logs.
+func (f *fleet) routersByRequest() (map[string]string, error) {
+	routerByRequest := make(map[string]string)
 	for _, r := range f.routers {
-		log, err := os.ReadFile(r.log)
+		log, err := os.ReadFile(r.logPath)
 		if err != nil {
 			return nil, errors.Wrap(err, r.name)
 		}
@@ -104,68 +108,69 @@
 		for lines.Scan() {
 			line := struct{ Request, Process string }{}
 			if json.Unmarshal(lines.Bytes(), &line) == nil && line.Request != "" {
-				routerOf[line.Request] = line.Process
+				routerByRequest[line.Request] = line.Process
 			}
 		}
 		if lines.Err() != nil {
 			return nil, errors.Wrap(lines.Err(), r.name)
 		}
 	}
-	return routerOf, nil
+	return routerByRequest, nil
 }
 
-// overruns finds the spans of one limit in which a server got more than that allows, from
-// the processes that it had told.
-func overruns(report enginestub.ProcessActivity, routerOf map[string]string) []string {
-	var found []string
-	for i, named := range report.RateLimits {
-		perSecond, err := strconv.ParseFloat(named.Limit, 64)
+// limitViolations returns the reported limits that were exceeded by the router processes that
+// had received them. Requests of other router processes don't count.
+func limitViolations(activity enginestub.ProcessActivity, routerByRequest map[string]string) []string {
+	var violations []string
+	for i, change := range activity.RateLimits {
+		perSecond, err := strconv.ParseFloat(change.Limit, 64)
 		if err != nil {
-			continue // none, or no number
+			continue // no limit, or an invalid one
 		}
 		end := time.Now()
-		if i+1 < len(report.RateLimits) {
-			end = report.RateLimits[i+1].At
+		if i+1 < len(activity.RateLimits) {
+			end = activity.RateLimits[i+1].At
 		}
-		got := mostTold(spanOf(report.Arrivals, named.At, end), routerOf, named.At.Add(limitBinds))
-		if allowed := limitOver*perSecond*limitWindow.Seconds() + limitExtra; float64(got) > allowed {
-			found = append(found, fmt.Sprintf("limit %s named at %v: %d requests in %v, %.1f allowed",
-				named.Limit, named.At.Format(time.StampMilli), got, limitWindow, allowed))
+		count := maxWindowCount(arrivalsBetween(activity.Arrivals, change.At, end), routerByRequest, change.At.Add(limitCheckDelay))
+		if allowed := limitTolerance*perSecond*limitWindow.Seconds() + limitSlack; float64(count) > allowed {
+			violations = append(violations, fmt.Sprintf("limit %s reported at %v: %d requests in %v, %.1f allowed",
+				change.Limit, change.At.Format(time.StampMilli), count, limitWindow, allowed))
 		}
 	}
-	return found
+	return violations
 }
 
-// spanOf are the requests that arrived in a span of time.
-func spanOf(arrivals []enginestub.Arrival, from, to time.Time) []enginestub.Arrival {
-	var span []enginestub.Arrival
+// arrivalsBetween returns the requests that arrived at or after from and before to.
+func arrivalsBetween(arrivals []enginestub.Arrival, from, to time.Time) []enginestub.Arrival {
+	var between []enginestub.Arrival
 	for _, a := range arrivals {
 		if !a.At.Before(from) && a.At.Before(to) {
-			span = append(span, a)
+			between = append(between, a)
 		}
 	}
-	return span
+	return between
 }
 
-// mostTold is the most requests within any window that ends no earlier than the limit
-// binds, of processes that were told before.
-func mostTold(arrivals []enginestub.Arrival, routerOf map[string]string, binds time.Time) int {
-	told := make(map[string]time.Time)
+// maxWindowCount returns the largest number of requests in any window of limitWindow that ends
+// at or after checkFrom. It counts the requests of a router process from routerGracePeriod
+// after the first response to that process.
+func maxWindowCount(arrivals []enginestub.Arrival, routerByRequest map[string]string, checkFrom time.Time) int {
+	respondedAt := make(map[string]time.Time)
 	for _, a := range arrivals {
-		router := routerOf[a.Request]
-		if at, known := told[router]; !a.Answered.IsZero() && (!known || a.Answered.Before(at)) {
-			told[router] = a.Answered
+		router := routerByRequest[a.Request]
+		if at, known := respondedAt[router]; !a.Answered.IsZero() && (!known || a.Answered.Before(at)) {
+			respondedAt[router] = a.Answered
 		}
 	}
 	var counted []time.Time
 	for _, a := range arrivals {
-		if at, known := told[routerOf[a.Request]]; known && a.At.Sub(at) >= limitTold {
+		if at, known := respondedAt[routerByRequest[a.Request]]; known && a.At.Sub(at) >= routerGracePeriod {
 			counted = append(counted, a.At)
 		}
 	}
-	most := 0
+	maxCount := 0
 	for i, last := range counted {
-		if last.Before(binds) {
+		if last.Before(checkFrom) {
 			continue
 		}
 		n := 0
@@ -174,7 +179,7 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		maxCount = max(maxCount, n)
 	}
-	return most
+	return maxCount
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -14,42 +14,43 @@
 	"github.com/pkg/errors"
 )
 
-// process is one program that the soak started. It may be started anew after its end.
+// process is a program started by the soak. It can be started again after it has exited.
 type process struct {
-	name string
-	path string
-	args []string
-	log  string // file of its standard output and error
-
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{} // closed when cmd has ended
-	began time.Time
-	// restarting: a fault has ended it and starts it again.
+	name    string
+	path    string
+	args    []string
+	logPath string // file for its standard output and error
+
+	mu        sync.Mutex
+	cmd       *exec.Cmd
+	done      chan struct{} // closed when cmd has exited
+	startTime time.Time
+	// restarting is set while a fault stops the process and starts it again.
 	restarting bool
-	// asked: its end was asked for by a signal.
-	asked bool
-	// faults are ends that nobody asked for, and planned ends that failed.
-	faults []string
+	// stopRequested is set once a signal that is meant to end the process was sent.
+	stopRequested bool
+	// failures are unexpected exits, failed graceful shutdowns and failed restarts.
+	failures []string
 }
 
-// start runs the program. With announced, it returns the first line of its output: the
-// address that stand-ins print.
-func (p *process) start(announced bool) (string, error) {
-	file, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+// start starts the program. If readAddress is set, it returns the first line of the program's
+// output, on which the stubs print their address.
+func (p *process) start(readAddress bool) (string, error) {
+	logFile, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return "", errors.Wrap(err, p.name)
 	}
 	cmd := exec.Command(p.path, p.args...)
-	// A soak that is killed can't end what it started. Its routers would go on, and join the
-	// fleet of a later soak whose store gets the port of their own: two routers of one VM.
+	// The kernel kills the program if the soak is killed. Otherwise its routers would keep
+	// running and join the fleet of a later soak whose store listens on the same port: two
+	// routers of one VM.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	cmd.Stderr = file
-	cmd.Stdout = file
-	var out io.ReadCloser
-	if announced {
+	cmd.Stderr = logFile
+	cmd.Stdout = logFile
+	var stdout io.ReadCloser
+	if readAddress {
 		cmd.Stdout = nil
-		if out, err = cmd.StdoutPipe(); err != nil {
+		if stdout, err = cmd.StdoutPipe(); err != nil {
 			return "", errors.Wrap(err, p.name)
 		}
 	}
@@ -57,114 +58,115 @@
 		return "", errors.Wrap(err, p.name)
 	}
 	p.mu.Lock()
-	p.cmd, p.ended, p.began, p.asked = cmd, make(chan struct{}), time.Now(), false
-	ended := p.ended
+	p.cmd, p.done, p.startTime, p.stopRequested = cmd, make(chan struct{}), time.Now(), false
+	done := p.done
 	p.mu.Unlock()
 	line := ""
-	if announced {
-		line, err = bufio.NewReader(out).ReadString('\n')
+	if readAddress {
+		line, err = bufio.NewReader(stdout).ReadString('\n')
 	}
-	go func() { // ends with the process
-		defer close(ended)
-		p.noteEnd(cmd.Wait())
-		_ = file.Close() // all is written
+	go func() { // returns when the process exits
+		defer close(done)
+		p.recordExit(cmd.Wait())
+		_ = logFile.Close() // nothing is written any more
 	}()
 	return line, errors.Wrap(err, p.name)
 }
 
-// noteEnd judges an end: a planned one has status 0, a killed one has none, and one that
-// nobody asked for is a fault.
-func (p *process) noteEnd(err error) {
+// recordExit records an exit as a failure if it was not requested, or if the process exited
+// with a status other than 0. A requested exit by a signal is not a failure.
+func (p *process) recordExit(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var exit *exec.ExitError
-	killed := errors.As(err, &exit) && exit.Sys().(syscall.WaitStatus).Signaled()
+	var exitErr *exec.ExitError
+	signaled := errors.As(err, &exitErr) && exitErr.Sys().(syscall.WaitStatus).Signaled()
 	switch {
-	case !p.asked:
-		p.faults = append(p.faults, p.name+" ended by itself: "+errorText(err))
-	case err != nil && !killed:
-		p.faults = append(p.faults, p.name+" failed at its planned stop: "+errorText(err))
+	case !p.stopRequested:
+		p.failures = append(p.failures, p.name+" exited unexpectedly: "+exitText(err))
+	case err != nil && !signaled:
+		p.failures = append(p.failures, p.name+" failed on graceful shutdown: "+exitText(err))
 	}
 }
 
-func errorText(err error) string {
+func exitText(err error) string {
 	if err == nil {
 		return "status 0"
 	}
 	return err.Error()
 }
 
-// signal sends a signal; stop says that it asks for the end.
-func (p *process) signal(s syscall.Signal, stop bool) {
+// signal sends a signal to the process; stop is set if the signal is meant to end it.
+func (p *process) signal(sig syscall.Signal, stop bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.asked = p.asked || stop
-	_ = p.cmd.Process.Signal(s) // it may have ended: noteEnd tells why
+	p.stopRequested = p.stopRequested || stop
+	_ = p.cmd.Process.Signal(sig) // the process may have exited: recordExit reports it
 }
 
 func (p *process) startedAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.began
+	return p.startTime
 }
 
-// down ends the process by a signal and starts it again some time later. One that is down already
-// gets the signal all the same: series of signals overlap.
-func (p *process) down(ctx context.Context, gone time.Duration, s syscall.Signal, announced bool) {
-	p.signal(s, true)
-	if !p.claim() {
-		return // another fault starts it again
+// restart ends the process by a signal and starts it again after downtime. It sends the signal
+// even if another fault is restarting the process, so that signals can overlap.
+func (p *process) restart(ctx context.Context, downtime time.Duration, sig syscall.Signal, readAddress bool) {
+	p.signal(sig, true)
+	if !p.beginRestart() {
+		return // the other fault starts the process again
 	}
-	defer p.release()
+	defer p.endRestart()
 	p.wait()
-	sleep(ctx, gone)
-	if _, err := p.start(announced); err != nil {
-		p.fail(err)
+	sleep(ctx, downtime)
+	if _, err := p.start(readAddress); err != nil {
+		p.recordFailure(err)
 	}
 }
 
-// claim makes the caller the one who starts the process again.
-func (p *process) claim() bool {
+// beginRestart reports whether the caller is to start the process again. It returns false if
+// another fault does so already.
+func (p *process) beginRestart() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	free := !p.restarting
+	claimed := !p.restarting
 	p.restarting = true
-	return free
+	return claimed
 }
 
-func (p *process) release() {
+func (p *process) endRestart() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.restarting = false
 }
 
-func (p *process) fail(err error) {
+func (p *process) recordFailure(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.faults = append(p.faults, err.Error())
+	p.failures = append(p.failures, err.Error())
 }
 
-// wait returns when the process has ended.
+// wait waits until the process has exited.
 func (p *process) wait() {
 	p.mu.Lock()
-	ended := p.ended
+	done := p.done
 	p.mu.Unlock()
-	<-ended
+	<-done
 }
 
-// kill ends the process, also a paused one, and waits for its end.
+// kill kills the process, even if it is paused, and waits until it has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL, true)
 	p.wait()
 }
 
-func (p *process) takeFaults() []string {
+func (p *process) allFailures() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.faults
+	return p.failures
 }
 
-// logFile is where a process writes.
-func logFile(dir, name string) string {
+// logPath returns the path of a process's log file.
+func logPath(dir, name string) string {
 	return filepath.Join(dir, name+".log")
 }
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -12,36 +12,37 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// starterEnv makes the test binary start a program and wait, in the place of its tests.
-const starterEnv = "SOAK_TEST_STARTER"
+// parentEnv is the environment variable that makes the test binary start a program and wait
+// instead of running the test.
+const parentEnv = "SOAK_TEST_STARTER"
 
-// Guards against routers that outlive a soak and join the fleet of a later one.
+// Guards against routers that keep running after a soak was killed and join the fleet of a later one.
 func TestProcessesEndWithSoak(t *testing.T) {
-	if os.Getenv(starterEnv) != "" {
-		p := &process{name: "sleeper", path: "/bin/sleep", args: []string{"60"}, log: t.TempDir() + "/log"}
+	if os.Getenv(parentEnv) != "" {
+		p := &process{name: "sleeper", path: "/bin/sleep", args: []string{"60"}, logPath: t.TempDir() + "/log"}
 		_, err := p.start(false)
 		qt.Assert(t, err, qt.IsNil)
 		fmt.Println("started", p.cmd.Process.Pid)
-		select {} // until it is killed
+		select {} // until the test kills it
 	}
-	starter := exec.Command(os.Args[0], "-test.run", "^TestProcessesEndWithSoak$")
-	starter.Env = append(os.Environ(), starterEnv+"=1")
-	out, err := starter.StdoutPipe()
+	parent := exec.Command(os.Args[0], "-test.run", "^TestProcessesEndWithSoak$")
+	parent.Env = append(os.Environ(), parentEnv+"=1")
+	out, err := parent.StdoutPipe()
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, starter.Start(), qt.IsNil)
+	qt.Assert(t, parent.Start(), qt.IsNil)
 	pid := 0
 	for lines := bufio.NewScanner(out); pid == 0 && lines.Scan(); {
-		_, _ = fmt.Sscanf(lines.Text(), "started %d", &pid) // other lines are the test binary's
+		_, _ = fmt.Sscanf(lines.Text(), "started %d", &pid) // other lines come from the testing package
 	}
 	qt.Assert(t, pid, qt.Not(qt.Equals), 0)
-	qt.Assert(t, starter.Process.Kill(), qt.IsNil)
-	_ = starter.Wait() // killed, as asked
+	qt.Assert(t, parent.Process.Kill(), qt.IsNil)
+	_ = parent.Wait() // returns an error, since the process was killed
 	for running(pid) {
-		time.Sleep(5 * time.Millisecond) // the test's own timeout bounds it
+		time.Sleep(5 * time.Millisecond) // bounded by the timeout of go test
 	}
 }
 
-// running says whether a process lives; one that has ended may not have been waited for yet.
+// running reports whether a process is running. A zombie doesn't count.
 func running(pid int) bool {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	return err == nil && !strings.Contains(string(stat), ") Z ")
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -10,25 +10,26 @@
 	"github.com/pkg/errors"
 )
 
-// mode is what a proxy does with the bytes of its connections.
+// mode is how a proxy treats the data on its connections.
 type mode int32
 
 // Modes of a proxy.
 const (
-	pass    mode = iota
-	delayed      // each piece comes some tens of ms late
-	mute         // answers are held, requests pass
-	deaf         // requests are held, answers pass
-	silent       // both are held; connections stay open
+	modePass          mode = iota
+	modeDelay              // forward each chunk after chunkDelay
+	modeHoldResponses      // hold responses, forward requests
+	modeHoldRequests       // hold requests, forward responses
+	modeHoldBoth           // hold both and keep the connections open
 )
 
-// delay of each piece in mode delayed.
-const delay = 40 * time.Millisecond
+// chunkDelay is the delay of each chunk in modeDelay.
+const chunkDelay = 40 * time.Millisecond
 
-// heldPoll is how often held bytes are looked at again.
-const heldPoll = 10 * time.Millisecond
+// holdPollInterval is the time between two checks whether held data may be forwarded.
+const holdPollInterval = 10 * time.Millisecond
 
-// proxy stands before one server on loopback and harms its connections.
+// proxy is a TCP proxy on the loopback interface that injects faults into the connections to
+// one server.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -44,7 +45,7 @@
 		return nil, errors.Wrap(err, "proxy")
 	}
 	p := &proxy{listener: listener, target: target, conns: make(map[net.Conn]struct{})}
-	go p.accept() // ends with the listener
+	go p.accept() // returns when the listener is closed
 	return p, nil
 }
 
@@ -52,23 +53,23 @@
 	return p.listener.Addr().String()
 }
 
-func (p *proxy) set(m mode) {
+func (p *proxy) setMode(m mode) {
 	p.mode.Store(int32(m))
 }
 
-// reset breaks all connections.
+// reset resets all connections.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for conn := range p.conns {
-		_ = conn.(*net.TCPConn).SetLinger(0) // makes the close a reset
-		_ = conn.Close()                     // the point of it
+		_ = conn.(*net.TCPConn).SetLinger(0) // makes Close send a reset
+		_ = conn.Close()
 	}
 	clear(p.conns)
 }
 
 func (p *proxy) close() {
-	_ = p.listener.Close() // the soak ends
+	_ = p.listener.Close() // the run is over
 	p.reset()
 }
 
@@ -78,35 +79,35 @@
 		if err != nil {
 			return
 		}
-		go p.join(conn) // ends with its connections
+		go p.handle(conn) // returns when its connections are closed
 	}
 }
 
-func (p *proxy) join(client net.Conn) {
+func (p *proxy) handle(client net.Conn) {
 	server, err := net.Dial("tcp", p.target)
 	if err != nil {
-		_ = client.Close() // the target is down: so looks the proxy
+		_ = client.Close() // clients see that the target is down
 		return
 	}
 	p.mu.Lock()
 	p.conns[client], p.conns[server] = struct{}{}, struct{}{}
 	p.mu.Unlock()
-	go p.copy(server, client, deaf)
-	p.copy(client, server, mute)
+	go p.forward(server, client, modeHoldRequests)
+	p.forward(client, server, modeHoldResponses)
 }
 
-// copy passes bytes on until either side closes; holding is the mode in which this
-// direction is held.
-func (p *proxy) copy(to, from net.Conn, holding mode) {
-	defer p.forget(to, from)
+// forward copies data until one side closes its connection. In mode holdMode it holds the data
+// of its direction.
+func (p *proxy) forward(to, from net.Conn, holdMode mode) {
+	defer p.closeConns(to, from)
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
-		if p.is(delayed) {
-			time.Sleep(delay)
+		if p.inMode(modeDelay) {
+			time.Sleep(chunkDelay)
 		}
-		for p.is(holding) || p.is(silent) {
-			time.Sleep(heldPoll)
+		for p.inMode(holdMode) || p.inMode(modeHoldBoth) {
+			time.Sleep(holdPollInterval)
 		}
 		if n > 0 {
 			if _, err := to.Write(buffer[:n]); err != nil {
@@ -114,7 +115,7 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			_ = to.(*net.TCPConn).CloseWrite() // the other direction may go on
+			_ = to.(*net.TCPConn).CloseWrite() // the other direction stays open
 			return
 		}
 		if err != nil {
@@ -123,16 +124,17 @@
 	}
 }
 
-func (p *proxy) is(m mode) bool {
+func (p *proxy) inMode(m mode) bool {
 	return mode(p.mode.Load()) == m
 }
 
-// forget closes both sides once one direction has ended: HTTP needs no half-open ones.
-func (p *proxy) forget(conns ...net.Conn) {
+// closeConns closes both connections once one direction has ended. HTTP needs no half-open
+// connections.
+func (p *proxy) closeConns(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range conns {
-		_ = conn.Close() // it has ended
+		_ = conn.Close() // the peer may have closed it
 		delete(p.conns, conn)
 	}
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -15,121 +15,121 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// fault is one thing that goes wrong, and is well again when do returns.
+// fault is one injected fault. It is over when run returns.
 type fault struct {
-	at   time.Duration
-	name string
-	do   func(ctx context.Context)
+	offset time.Duration
+	name   string
+	run    func(ctx context.Context)
 }
 
-// Shape of a schedule.
+// Frequency and duration of faults.
 const (
-	// faultEvery is the mean time between two faults: several overlap.
-	faultEvery = 600 * time.Millisecond
-	// shortest and longest bound how long a fault lasts. The longest is beyond the
-	// leases of routers' entries and the opening of grants.
-	shortest, longest = 100 * time.Millisecond, 4 * time.Second
-	// hangups is how many SIGHUPs come in a series.
-	hangups = 3
+	// meanFaultInterval is the mean time between the starts of two faults. Faults overlap.
+	meanFaultInterval = 600 * time.Millisecond
+	// minFaultDuration and maxFaultDuration bound how long a fault lasts. The longest faults
+	// outlast the leases of routers' entries and the time until grants open.
+	minFaultDuration, maxFaultDuration = 100 * time.Millisecond, 4 * time.Second
+	// hangupsPerReload is the number of SIGHUPs that a reload fault sends in a row.
+	hangupsPerReload = 3
 )
 
-// plan draws the faults of a seed. The same seed gives the same faults at the same
-// times; what else happens meanwhile is the machine's.
-func plan(f *fleet, seed uint64, duration time.Duration) []fault {
-	random := rand.New(rand.NewPCG(seed, seed))
+// planFaults draws the faults of a seed. The same seed gives the same faults at the same
+// times; all other timing depends on the machine.
+func planFaults(f *fleet, seed uint64, duration time.Duration) []fault {
+	rng := rand.New(rand.NewPCG(seed, seed))
 	var faults []fault
-	for range int(duration / faultEvery) {
-		at := time.Duration(random.Int64N(int64(duration)))
-		lasts := shortest + time.Duration(random.Int64N(int64(longest-shortest)))
-		faults = append(faults, f.draw(random, at, lasts))
+	for range int(duration / meanFaultInterval) {
+		offset := time.Duration(rng.Int64N(int64(duration)))
+		faultDuration := minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
+		faults = append(faults, f.drawFault(rng, offset, faultDuration))
 	}
 	faults = append(faults, f.planEvacuations(seed, duration)...)
 	faults = append(faults, f.planLimits(seed, duration)...)
-	faults = append(faults, f.planEngineDeaths(seed, duration)...)
-	sort.SliceStable(faults, func(i, j int) bool { return faults[i].at < faults[j].at })
+	faults = append(faults, f.planEngineKills(seed, duration)...)
+	sort.SliceStable(faults, func(i, j int) bool { return faults[i].offset < faults[j].offset })
 	return faults
 }
 
-// evacuationEvery is the mean time between two evacuations of a failure domain.
-const evacuationEvery = 4 * time.Second
+// meanEvacuationInterval is the mean time between two evacuations of a failure domain.
+const meanEvacuationInterval = 4 * time.Second
 
-// planEvacuations draws what operators rehearse meanwhile. It has random numbers of its own,
-// so that a seed's faults stay what they were.
+// planEvacuations draws evacuations of failure domains by operators. It has its own random
+// generator, so that it doesn't change the other faults of a seed.
 func (f *fleet) planEvacuations(seed uint64, duration time.Duration) []fault {
-	random := rand.New(rand.NewPCG(seed, ^seed))
-	var plan []fault
-	for range int(duration / evacuationEvery) {
-		at := time.Duration(random.Int64N(int64(duration)))
-		lasts := shortest + time.Duration(random.Int64N(int64(longest-shortest)))
-		name := string(domain(random.IntN(engines)))
-		plan = append(plan, fault{at: at, name: name + " evacuated", do: func(ctx context.Context) { f.evacuated(ctx, name, lasts) }})
+	rng := rand.New(rand.NewPCG(seed, ^seed))
+	var faults []fault
+	for range int(duration / meanEvacuationInterval) {
+		offset := time.Duration(rng.Int64N(int64(duration)))
+		evacuationDuration := minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
+		domainName := string(domain(rng.IntN(engineCount)))
+		faults = append(faults, fault{offset: offset, name: domainName + " evacuated", run: func(ctx context.Context) { f.evacuate(ctx, domainName, evacuationDuration) }})
 	}
-	return plan
+	return faults
 }
 
-// evacuated orders a domain's evacuation and takes it back, each as soon as the store takes
-// the order.
-func (f *fleet) evacuated(ctx context.Context, name string, lasts time.Duration) {
-	f.order(ctx, name, operate.Evacuate)
-	sleep(ctx, lasts)
-	f.order(ctx, name, operate.Restore)
+// evacuate evacuates a failure domain and later restores it. It retries both while the store
+// fails.
+func (f *fleet) evacuate(ctx context.Context, domainName string, duration time.Duration) {
+	f.retryOperation(ctx, domainName, operate.Evacuate)
+	sleep(ctx, duration)
+	f.retryOperation(ctx, domainName, operate.Restore)
 }
 
-// order repeats an operator's order until the store has taken it. A domain that another
-// evacuation of the schedule has restored is not found, which is as good.
-func (f *fleet) order(ctx context.Context, name string, give func(context.Context, store.Store, string) error) {
+// retryOperation retries an operator action until it succeeds or ctx is done. ErrNotFound
+// counts as success: an overlapping evacuation has already restored the domain.
+func (f *fleet) retryOperation(ctx context.Context, domainName string, operation func(context.Context, store.Store, string) error) {
 	for {
-		err := give(ctx, f.store, name)
-		if err == nil || errors.Is(err, operate.ErrNotFound) || !sleep(ctx, pollEvery) {
+		err := operation(ctx, f.store, domainName)
+		if err == nil || errors.Is(err, operate.ErrNotFound) || !sleep(ctx, pollInterval) {
 			return
 		}
 	}
 }
 
-// draw makes one fault.
-func (f *fleet) draw(random *rand.Rand, at, lasts time.Duration) fault {
-	r := f.routers[random.IntN(len(f.routers))]
-	engine := random.IntN(len(f.engines))
-	harm := []mode{delayed, mute, deaf, silent}[random.IntN(4)]
-	kinds := []fault{
-		{name: r.name + " killed", do: func(ctx context.Context) { r.down(ctx, lasts/4, syscall.SIGKILL, false) }},
-		{name: r.name + " stopped as planned", do: func(ctx context.Context) { r.down(ctx, lasts/4, syscall.SIGTERM, false) }},
-		{name: r.name + " paused", do: func(ctx context.Context) { r.paused(ctx, lasts) }},
-		{name: r.name + " told to reload", do: func(ctx context.Context) { r.reload() }},
-		{name: "all routers killed", do: func(ctx context.Context) { f.allDown(ctx, lasts) }},
-		{name: f.engines[engine].name + " paused", do: func(ctx context.Context) { pauseFor(ctx, f.engines[engine], lasts) }},
-		{name: f.engines[engine].name + " reset", do: func(context.Context) { f.proxies[engine].reset() }},
-		{name: fmt.Sprintf("%s harmed (%d)", f.engines[engine].name, harm), do: func(ctx context.Context) { harmed(ctx, f.proxies[engine], harm, lasts) }},
-		{name: fmt.Sprintf("store harmed for %s (%d)", r.name, harm), do: func(ctx context.Context) { harmed(ctx, r.store, harm, lasts) }},
-		{name: "store down", do: func(ctx context.Context) { f.storeWrong(ctx, "down", "up", lasts) }},
-		{name: "store loses answers", do: func(ctx context.Context) { f.storeWrong(ctx, "lose", "answer", lasts) }},
-		{name: "store drops its history", do: func(context.Context) { _ = f.storeOrder("compact") }}, // shows in the store's end
+// drawFault draws one fault.
+func (f *fleet) drawFault(rng *rand.Rand, offset, duration time.Duration) fault {
+	r := f.routers[rng.IntN(len(f.routers))]
+	engine := rng.IntN(len(f.engines))
+	proxyMode := []mode{modeDelay, modeHoldResponses, modeHoldRequests, modeHoldBoth}[rng.IntN(4)]
+	candidates := []fault{
+		{name: r.name + " killed", run: func(ctx context.Context) { r.restart(ctx, duration/4, syscall.SIGKILL, false) }},
+		{name: r.name + " stopped gracefully", run: func(ctx context.Context) { r.restart(ctx, duration/4, syscall.SIGTERM, false) }},
+		{name: r.name + " paused", run: func(ctx context.Context) { r.pause(ctx, duration) }},
+		{name: r.name + " reloaded", run: func(ctx context.Context) { r.reload() }},
+		{name: "all routers killed", run: func(ctx context.Context) { f.restartAllRouters(ctx, duration) }},
+		{name: f.engines[engine].name + " paused", run: func(ctx context.Context) { pauseFor(ctx, f.engines[engine], duration) }},
+		{name: f.engines[engine].name + " connections reset", run: func(context.Context) { f.engineProxies[engine].reset() }},
+		{name: fmt.Sprintf("%s connections degraded (mode %d)", f.engines[engine].name, proxyMode), run: func(ctx context.Context) { degrade(ctx, f.engineProxies[engine], proxyMode, duration) }},
+		{name: fmt.Sprintf("store connections of %s degraded (mode %d)", r.name, proxyMode), run: func(ctx context.Context) { degrade(ctx, r.storeProxy, proxyMode, duration) }},
+		{name: "store down", run: func(ctx context.Context) { f.disruptStore(ctx, "down", "up", duration) }},
+		{name: "store loses answers", run: func(ctx context.Context) { f.disruptStore(ctx, "lose", "answer", duration) }},
+		{name: "store drops its history", run: func(context.Context) { _ = f.sendStoreCommand("compact") }}, // a failed store stub shows in the checks of the run
 	}
-	chosen := kinds[random.IntN(len(kinds))]
-	chosen.at = at
+	chosen := candidates[rng.IntN(len(candidates))]
+	chosen.offset = offset
 	return chosen
 }
 
-// inject carries the schedule out and returns when all is well again. told hears of each
-// fault as it begins.
-func inject(ctx context.Context, faults []fault, told func(fault)) {
+// injectFaults runs the faults at their offsets and returns when all of them are over. It calls
+// started before it runs a fault.
+func injectFaults(ctx context.Context, faults []fault, started func(fault)) {
 	start := time.Now()
 	var running sync.WaitGroup
-	for _, one := range faults {
-		if !sleep(ctx, time.Until(start.Add(one.at))) {
+	for _, current := range faults {
+		if !sleep(ctx, time.Until(start.Add(current.offset))) {
 			break
 		}
-		told(one)
+		started(current)
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			one.do(ctx)
+			current.run(ctx)
 		}()
 	}
 	running.Wait()
 }
 
-// sleep waits; false if ctx ended first.
+// sleep waits for d and reports whether it did so before ctx was done.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -139,55 +139,56 @@
 	}
 }
 
-func (r *router) paused(ctx context.Context, lasts time.Duration) {
-	pauseFor(ctx, r.process, lasts)
+func (r *router) pause(ctx context.Context, duration time.Duration) {
+	pauseFor(ctx, r.process, duration)
 }
 
-// pauseFor stops a process and lets it go on.
-func pauseFor(ctx context.Context, p *process, lasts time.Duration) {
+// pauseFor suspends a process for duration by SIGSTOP and SIGCONT.
+func pauseFor(ctx context.Context, p *process, duration time.Duration) {
 	p.signal(syscall.SIGSTOP, false)
-	sleep(ctx, lasts)
+	sleep(ctx, duration)
 	p.signal(syscall.SIGCONT, false)
 }
 
-// handlerTime is how long a program may take from its start until it has its signal
-// handlers; before, SIGHUP ends any program.
-const handlerTime = 300 * time.Millisecond
+// signalHandlerDelay is the time that a router is given after its start to install its signal
+// handlers. Before that, SIGHUP ends it.
+const signalHandlerDelay = 300 * time.Millisecond
 
 func (r *router) reload() {
-	if time.Since(r.startedAt()) < handlerTime {
+	if time.Since(r.startedAt()) < signalHandlerDelay {
 		return
 	}
-	for range hangups {
+	for range hangupsPerReload {
 		r.signal(syscall.SIGHUP, false)
 	}
 }
 
-func (f *fleet) allDown(ctx context.Context, lasts time.Duration) {
+func (f *fleet) restartAllRouters(ctx context.Context, duration time.Duration) {
 	var all sync.WaitGroup
 	for _, r := range f.routers {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			r.down(ctx, lasts/4, syscall.SIGKILL, false)
+			r.restart(ctx, duration/4, syscall.SIGKILL, false)
 		}()
 	}
 	all.Wait()
 }
 
-// harmed puts a proxy into a mode for a time. Two faults on one proxy end with the first.
-func harmed(ctx context.Context, p *proxy, m mode, lasts time.Duration) {
-	p.set(m)
-	sleep(ctx, lasts)
-	p.set(pass)
-	if m == silent {
-		p.reset() // what was open is of no use any more
+// degrade sets a proxy's mode for duration. If two faults on one proxy overlap, both are over
+// when the first one ends.
+func degrade(ctx context.Context, p *proxy, m mode, duration time.Duration) {
+	p.setMode(m)
+	sleep(ctx, duration)
+	p.setMode(modePass)
+	if m == modeHoldBoth {
+		p.reset() // connections whose data was held are of no further use
 	}
 }
 
-// storeWrong gives the store's stand-in one order and takes it back later.
-func (f *fleet) storeWrong(ctx context.Context, wrong, right string, lasts time.Duration) {
-	_ = f.storeOrder(wrong) // a stand-in that is gone shows in its end
-	sleep(ctx, lasts)
-	_ = f.storeOrder(right) // as above
+// disruptStore sends the store stub a command, and undoes it by another one after duration.
+func (f *fleet) disruptStore(ctx context.Context, command, undo string, duration time.Duration) {
+	_ = f.sendStoreCommand(command) // a failed store stub shows in the checks of the run
+	sleep(ctx, duration)
+	_ = f.sendStoreCommand(undo) // as above
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,7 +1,7 @@
-// Package soak runs the real programs as separate processes on one machine, harms them
-// from outside by a random schedule, and checks the promises from what callers, backend
-// servers and the store see. Clocks are not harmed: a process can't be given a wrong one
-// without a library of its own.
+// Package soak runs the real programs as separate processes on one machine, injects faults
+// by a random schedule, and checks the guarantees from what callers, backend servers and the
+// store observe. It injects no clock faults: the clock of a single process can't be changed
+// without preloading a library into it.
 package soak
 
 import (
@@ -22,70 +22,71 @@
 	"chicorytiller.example/chicorytiller/internal/store"
 )
 
-// Options of one run.
+// Options configure one run.
 type Options struct {
-	ProgramDir string // directory of the built programs
-	Dir        string // for settings and logs; it must exist
+	ProgramDir string // directory of the compiled programs
+	Dir        string // existing directory for settings and logs
 	Seed       uint64
-	Duration   time.Duration // of load and faults
-	Rate       float64       // requests a second
-	// OpenStore connects to the store at an address.
+	Duration   time.Duration // how long requests are sent and faults are injected
+	Rate       float64       // requests per second
+	// OpenStore returns a client of the store at address.
 	OpenStore func(address string) store.Store
 	Out       io.Writer
 }
 
-// Times of a run.
 const (
-	// settleWithin bounds the wait for all routers after the last fault.
-	settleWithin = 30 * time.Second
-	// watchEvery is how often the money is looked at.
-	watchEvery = 200 * time.Millisecond
+	// recoveryTimeout bounds the wait until all routers are ready, at the start and after the
+	// last fault.
+	recoveryTimeout = 30 * time.Second
+	// budgetCheckInterval is the time between two checks of the budgets during a run.
+	budgetCheckInterval = 200 * time.Millisecond
 )
 
-// afterwards is how many requests must all be served once all is well.
-const afterwards = 30
+// finalRequests is the number of requests sent after the last fault, which must all succeed.
+const finalRequests = 30
 
-// callers is how a caller goes on after a failed try: longer than any fault lasts.
-var callers = load.RetryPolicy{
+// retryPolicy makes callers retry for longer than any fault lasts.
+var retryPolicy = load.RetryPolicy{
 	Deadline: 30 * time.Second, TryTimeout: 9 * time.Second, MaxTries: 60, MaxRetryAfter: 12 * time.Second,
 	Backoff: 50 * time.Millisecond, Rotate: true,
 }
 
-// Run plays one seed and returns what was broken. An error means that it couldn't play.
+// Run runs one seed and returns the violations of guarantees. It returns an error if the run
+// could not be carried out.
 func Run(ctx context.Context, o Options) ([]string, error) {
-	f, err := build(o, o.Dir)
+	f, err := startFleet(o, o.Dir)
 	if err != nil {
 		return nil, err
 	}
-	defer f.end()
+	defer f.close()
 	if err := f.awaitReady(ctx); err != nil {
 		return nil, err
 	}
-	money, stopMoney := f.watchMoney(ctx)
-	run, err := f.load(ctx, o)
+	budgetViolations, stopWatching := f.watchBudgets(ctx)
+	run, err := f.runLoad(ctx, o)
 	if err != nil {
 		return nil, err
 	}
-	broken, last := f.settle(ctx)
-	stopMoney()
-	broken = append(broken, money()...)
-	outcomes := append(run.Outcomes(), last...)
-	found, err := f.judge(outcomes)
+	violations, finalOutcomes := f.checkRecovery(ctx)
+	stopWatching()
+	violations = append(violations, budgetViolations()...)
+	outcomes := append(run.Outcomes(), finalOutcomes...)
+	outcomeViolations, err := f.checkOutcomes(outcomes)
 	if err != nil {
 		return nil, err
 	}
-	broken = append(broken, found...)
-	overrun, err := f.judgeLimits()
+	violations = append(violations, outcomeViolations...)
+	overLimit, err := f.checkLimits()
 	if err != nil {
 		return nil, err
 	}
-	broken = append(broken, overrun...)
-	broken = append(broken, f.stopAll(ctx, answeredTokens(outcomes))...)
-	return append(broken, f.ends()...), nil
+	violations = append(violations, overLimit...)
+	violations = append(violations, f.stopRouters(ctx, answeredTokens(outcomes))...)
+	return append(violations, f.checkProcesses()...), nil
 }
 
 func (f *fleet) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, settleWithin)
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	for _, r := range f.routers {
 		if err := r.awaitReady(ctx); err != nil {
@@ -95,9 +96,9 @@
 	return nil
 }
 
-// load sends requests while the faults of the seed happen.
-func (f *fleet) load(ctx context.Context, o Options) (*load.Run, error) {
-	runner, err := f.runner(load.Pace{Duration: o.Duration, Rate: o.Rate}, o.Seed)
+// runLoad sends requests while it injects the faults of the seed.
+func (f *fleet) runLoad(ctx context.Context, o Options) (*load.Run, error) {
+	runner, err := f.newRunner(load.Pace{Duration: o.Duration, Rate: o.Rate}, o.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -106,8 +107,8 @@
 	start := time.Now()
 	go func() {
 		defer injecting.Done()
-		inject(ctx, plan(f, o.Seed, o.Duration), func(one fault) {
-			fmt.Fprintf(o.Out, "%8.3f s  %s\n", time.Since(start).Seconds(), one.name)
+		injectFaults(ctx, planFaults(f, o.Seed, o.Duration), func(started fault) {
+			fmt.Fprintf(o.Out, "%8.3f s  %s\n", time.Since(start).Seconds(), started.name)
 		})
 	}()
 	run := runner.Run(ctx)
@@ -115,10 +116,11 @@
 	return run, nil
 }
 
-// runner makes a load of completions, half of them without a key, and calls.
-func (f *fleet) runner(pace load.Pace, seed uint64) (*load.Runner, error) {
+// newRunner returns a runner that sends completions, half of them without an idempotency key,
+// and calls of the plain service.
+func (f *fleet) newRunner(pace load.Pace, seed uint64) (*load.Runner, error) {
 	workload, err := load.NewWorkload(load.WorkloadConfig{
-		Seed: seed, RunID: fmt.Sprintf("soak-%d-%d", seed, time.Now().UnixNano()), Accounts: accounts, Model: model,
+		Seed: seed, RunID: fmt.Sprintf("soak-%d-%d", seed, time.Now().UnixNano()), Accounts: accountCount, Model: model,
 		PromptBytes: 200, MinOutputTokens: 5, MaxOutputTokens: 120, Stream: true, Service: service, ServiceShare: 0.2,
 		UnkeyedShare: 0.5, Answer: enginestub.Answer,
 	})
@@ -128,85 +130,88 @@
 	client := load.NewClient(f.keys)
 	addresses := make([]string, 0, len(f.routers))
 	for _, r := range f.routers {
-		addresses = append(addresses, r.callers)
+		addresses = append(addresses, r.callerAddr)
 	}
-	caches := make([]*load.AddressCache, 0, accounts)
-	for account := range accounts {
+	caches := make([]*load.AddressCache, 0, accountCount)
+	for account := range accountCount {
 		caches = append(caches, load.NewAddressCache(addresses, client.EntryFetcher(account), time.Now))
 	}
-	return load.NewRunner(workload, pace, load.Target{Name: "routers", Caller: load.NewCaller(client, caches, callers, nil)})
+	return load.NewRunner(workload, pace, load.Target{Name: "routers", Caller: load.NewCaller(client, caches, retryPolicy, nil)})
 }
 
-// settle waits until all is well, and sends requests that must all be served.
-func (f *fleet) settle(ctx context.Context) (broken []string, last []load.Outcome) {
+// checkRecovery waits until all routers are ready and sends requests that must all succeed.
+func (f *fleet) checkRecovery(ctx context.Context) (violations []string, outcomes []load.Outcome) {
 	if err := f.awaitReady(ctx); err != nil {
 		return []string{"not recovered: " + err.Error()}, nil
 	}
-	runner, err := f.runner(load.Pace{Requests: afterwards, Concurrency: 4}, 0)
+	runner, err := f.newRunner(load.Pace{Requests: finalRequests, Concurrency: 4}, 0)
 	if err != nil {
 		return []string{err.Error()}, nil
 	}
 	run := runner.Run(ctx)
 	statuses := run.Report().Targets[0].Statuses
-	if statuses[load.StatusOK] != afterwards && f.tokensLeft(ctx) {
-		broken = []string{fmt.Sprintf("not recovered: of %d requests after the last fault %v", afterwards, statuses)}
+	if statuses[load.StatusOK] != finalRequests && f.budgetsHaveTokens(ctx) {
+		violations = []string{fmt.Sprintf("not recovered: of %d requests after the last fault %v", finalRequests, statuses)}
 	}
-	return broken, run.Outcomes()
+	return violations, run.Outcomes()
 }
 
-// tokensLeft says whether all budgets could still serve: else refusals are right.
-func (f *fleet) tokensLeft(ctx context.Context) bool {
+// budgetsHaveTokens reports whether all budgets still have enough tokens. If not, refusals
+// are correct.
+func (f *fleet) budgetsHaveTokens(ctx context.Context) bool {
 	budgets, err := operate.Budgets(ctx, f.store)
 	for _, b := range budgets {
-		if b.Prepaid-b.Granted < prepaid/10 && b.Granted-b.Spent < prepaid/10 {
+		if b.Prepaid-b.Granted < prepaidTokens/10 && b.Granted-b.Spent < prepaidTokens/10 {
 			return false
 		}
 	}
 	return err == nil
 }
 
-// watchMoney looks at the records all the time: no more is granted than was paid.
-func (f *fleet) watchMoney(ctx context.Context) (found func() []string, stop func()) {
+// watchBudgets checks until stop is called that no budget has more tokens granted than were
+// prepaid. violations must be called only after stop.
+func (f *fleet) watchBudgets(ctx context.Context) (violations func() []string, stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var watching sync.WaitGroup
-	var broken []string
+	var exceeded []string
 	watching.Add(1)
 	go func() {
 		defer watching.Done()
-		for sleep(ctx, watchEvery) {
+		for sleep(ctx, budgetCheckInterval) {
 			budgets, err := operate.Budgets(ctx, f.store)
 			if err != nil {
-				continue // the store is down for the watcher too
+				continue // the store is down
 			}
 			for _, b := range budgets {
 				if b.Granted > b.Prepaid {
-					broken = append(broken, fmt.Sprintf("%s: %d granted of %d", b.Account, b.Granted, b.Prepaid))
+					exceeded = append(exceeded, fmt.Sprintf("%s: %d tokens granted of %d prepaid", b.Account, b.Granted, b.Prepaid))
 				}
 			}
 		}
 	}()
-	return func() []string { return broken }, func() {
+	return func() []string { return exceeded }, func() {
 		cancel()
 		watching.Wait()
 	}
 }
 
-// judge holds the answers against what engines, service and store saw.
-func (f *fleet) judge(outcomes []load.Outcome) ([]string, error) {
-	var broken []string
+// checkOutcomes compares the outcomes of the requests with the runs at the engines and the
+// service.
+func (f *fleet) checkOutcomes(outcomes []load.Outcome) ([]string, error) {
+	var violations []string
 	statuses := map[load.Status]int{}
 	for _, outcome := range outcomes {
 		statuses[outcome.Status]++
 	}
 	for _, status := range []load.Status{load.StatusSpliced, load.StatusTruncated} {
 		if statuses[status] > 0 {
-			broken = append(broken, fmt.Sprintf("%d answers %s", statuses[status], status))
+			violations = append(violations, fmt.Sprintf("%d answers %s", statuses[status], status))
 		}
 	}
 	if statuses[load.StatusOK] == 0 {
-		broken = append(broken, "nothing was served")
+		violations = append(violations, "nothing was served")
 	}
-	evidence, err := load.NewClient(nil).GatherEvidence(load.Sources{Services: []string{f.callsAt}})
+	evidence, err := load.NewClient(nil).GatherEvidence(load.Sources{Services: []string{f.serviceAddr}})
 	if err != nil {
 		return nil, err
 	}
@@ -214,7 +219,7 @@
 		return nil, err
 	}
 	result := load.Reconcile(outcomes, nil, evidence)
-	return append(broken, result.Examples...), nil
+	return append(violations, result.Examples...), nil
 }
 
 func answeredTokens(outcomes []load.Outcome) int64 {
@@ -227,9 +232,9 @@
 	return sum
 }
 
-// stopAll stops the routers as planned. Then all that was answered is in the books, and
-// no more than was paid.
-func (f *fleet) stopAll(ctx context.Context, answered int64) []string {
+// stopRouters shuts the routers down gracefully. It then checks that the answered tokens are
+// accounted for, and that no budget exceeds its prepaid tokens.
+func (f *fleet) stopRouters(ctx context.Context, answered int64) []string {
 	for _, r := range f.routers {
 		r.signal(syscall.SIGTERM, true)
 	}
@@ -240,37 +245,38 @@
 	if err != nil {
 		return []string{err.Error()}
 	}
-	var broken []string
-	booked := int64(0)
+	var violations []string
+	granted := int64(0)
 	for _, b := range budgets {
-		booked += b.Granted
+		granted += b.Granted
 		if b.Granted > b.Prepaid {
-			broken = append(broken, fmt.Sprintf("%s: %d booked of %d", b.Account, b.Granted, b.Prepaid))
+			violations = append(violations, fmt.Sprintf("%s: %d tokens granted of %d prepaid after shutdown", b.Account, b.Granted, b.Prepaid))
 		}
 	}
-	if answered > booked {
-		broken = append(broken, fmt.Sprintf("%d tokens answered, %d booked", answered, booked))
+	if answered > granted {
+		violations = append(violations, fmt.Sprintf("%d tokens answered, but only %d granted", answered, granted))
 	}
-	return broken
+	return violations
 }
 
-// ends gathers what the processes' ends and logs say.
-func (f *fleet) ends() []string {
-	var broken []string
+// checkProcesses returns the failures of the engines and routers, and the signs of faults in
+// the routers' logs.
+func (f *fleet) checkProcesses() []string {
+	var violations []string
 	for _, p := range f.engines {
-		broken = append(broken, p.takeFaults()...)
+		violations = append(violations, p.allFailures()...)
 	}
 	for _, r := range f.routers {
-		broken = append(broken, r.takeFaults()...)
-		log, err := os.ReadFile(r.log)
+		violations = append(violations, r.allFailures()...)
+		log, err := os.ReadFile(r.logPath)
 		if err != nil {
-			broken = append(broken, errors.Wrap(err, r.name).Error())
+			violations = append(violations, errors.Wrap(err, r.name).Error())
 		}
-		for _, sign := range []string{`"event":900,`, "DATA RACE", "panic:"} {
-			if n := bytes.Count(log, []byte(sign)); n > 0 {
-				broken = append(broken, fmt.Sprintf("%s: %d times %s in its log", r.name, n, sign))
+		for _, pattern := range []string{`"event":900,`, "DATA RACE", "panic:"} {
+			if n := bytes.Count(log, []byte(pattern)); n > 0 {
+				violations = append(violations, fmt.Sprintf("%s: %d times %s in its log", r.name, n, pattern))
 			}
 		}
 	}
-	return broken
+	return violations
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -14,17 +14,17 @@
 	"chicorytiller.example/chicorytiller/platform"
 )
 
-// testSeeds are played by each run of the tests. A seed that ever broke a promise is
-// added, with a line on the cause.
+// testSeeds are the seeds that TestShortSoak runs. A seed that once violated a guarantee is
+// added with a comment on the cause.
 var testSeeds = []struct {
 	seed     uint64
 	duration time.Duration
 }{
 	{1, 6 * time.Second},
-	{30007, 10 * time.Second}, // SIGHUP right after a start ended the router: its handler came late
+	{30007, 10 * time.Second}, // SIGHUP ended a router that had just started and had no handler yet
 }
 
-// Guards every promise against some seconds of random faults on the real programs.
+// Guards against violations of the guarantees during some seconds of random faults in the real programs.
 func TestShortSoak(t *testing.T) {
 	c := qt.New(t)
 	programs := t.TempDir()
@@ -35,43 +35,43 @@
 	}
 	for _, test := range testSeeds {
 		var out bytes.Buffer
-		broken, err := Run(context.Background(), Options{
+		violations, err := Run(context.Background(), Options{
 			ProgramDir: programs, Dir: t.TempDir(), Seed: test.seed, Duration: test.duration, Rate: 30, Out: &out,
 			OpenStore: func(address string) store.Store { return platform.NewStore(address) },
 		})
 		c.Assert(err, qt.IsNil)
-		c.Check(broken, qt.HasLen, 0, qt.Commentf("seed %d\n%s", test.seed, out.String()))
+		c.Check(violations, qt.HasLen, 0, qt.Commentf("seed %d\n%s", test.seed, out.String()))
 	}
 }
 
-// The same seed gives the same faults; another gives others.
+// Guards against schedules that a seed doesn't reproduce, and against missing kinds of faults.
 func TestScheduleIsDeterminedBySeed(t *testing.T) {
-	names := func(seed uint64) []string {
-		f := &fleet{engines: []*process{{name: "e1"}, {name: "e2"}}, proxies: []*proxy{{}, {}}}
+	schedule := func(seed uint64) []string {
+		f := &fleet{engines: []*process{{name: "e1"}, {name: "e2"}}, engineProxies: []*proxy{{}, {}}}
 		for _, name := range []string{"r1", "r2", "r3"} {
 			f.routers = append(f.routers, &router{process: &process{name: name}})
 		}
 		var list []string
-		for _, one := range plan(f, seed, 20*time.Second) {
-			list = append(list, one.at.String()+" "+one.name)
+		for _, planned := range planFaults(f, seed, 20*time.Second) {
+			list = append(list, planned.offset.String()+" "+planned.name)
 		}
 		return list
 	}
-	qt.Assert(t, names(7), qt.DeepEquals, names(7))
-	qt.Assert(t, names(7), qt.Not(qt.DeepEquals), names(8))
-	evacuations, limits, deaths := 0, 0, 0
-	for _, name := range names(7) {
+	qt.Assert(t, schedule(7), qt.DeepEquals, schedule(7))
+	qt.Assert(t, schedule(7), qt.Not(qt.DeepEquals), schedule(8))
+	evacuations, limits, kills := 0, 0, 0
+	for _, name := range schedule(7) {
 		switch {
 		case strings.HasSuffix(name, " evacuated"):
 			evacuations++
 		case strings.Contains(name, " names a limit of "):
 			limits++
 		case strings.HasSuffix(name, " e1 killed"), strings.HasSuffix(name, " e2 killed"):
-			deaths++
+			kills++
 		}
 	}
 	qt.Assert(t, evacuations, qt.Equals, 5)
 	qt.Assert(t, limits, qt.Equals, 3)
-	qt.Assert(t, deaths, qt.Equals, 4)
-	qt.Assert(t, len(names(7))-evacuations-limits-deaths, qt.Equals, 33)
+	qt.Assert(t, kills, qt.Equals, 4)
+	qt.Assert(t, len(schedule(7))-evacuations-limits-kills, qt.Equals, 33)
 }
