--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -30,14 +30,15 @@
 
 // Options configure the fleet.
 type Options struct {
-	Routers         int           // number of routers, spread over the failure domains
-	Engines         int           // number of engines, spread over the failure domains
-	Slots           int           // requests that one engine runs concurrently
-	TokenTime       time.Duration // time between two tokens of an engine
-	FirstPort       int           // caller port of the first router, the others follow; 0 picks free ports
-	StorePort       int           // port of the store; 0 picks a free port
-	GracePeriod     time.Duration // time limit of a graceful shutdown; 0 means defaultGracePeriod
-	Log             io.Writer     // event log of all routers
+	Routers     int           // number of routers, spread over the failure domains
+	Engines     int           // number of engines, spread over the failure domains
+	Slots       int           // requests that one engine runs concurrently
+	TokenTime   time.Duration // time between two tokens of an engine
+	FirstPort   int           // caller port of the first router, the others follow; 0 picks free ports
+	StorePort   int           // port of the store; 0 picks a free port
+	GracePeriod time.Duration // time limit of a graceful shutdown; 0 means defaultGracePeriod
+	Log         io.Writer     // event log of all routers
+	// NewStoreHandler returns a handler that serves the store's API.
 	NewStoreHandler func(store.Store) http.Handler
 	// OpenStore returns a client of the store at address.
 	OpenStore func(address string) store.Store
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -31,7 +31,7 @@
 	Rate       float64       // requests per second
 	// OpenStore returns a client of the store at address.
 	OpenStore func(address string) store.Store
-	Out       io.Writer
+	Out       io.Writer // receives a line for each injected fault
 }
 
 const (
