--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -63,7 +63,7 @@
 	defer p.mu.Unlock()
 	for conn := range p.conns {
 		_ = conn.(*net.TCPConn).SetLinger(0) // makes Close send a reset
-		_ = conn.Close()
+		_ = conn.Close()                     // an error means that it is closed already
 	}
 	clear(p.conns)
 }
@@ -115,7 +115,7 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			_ = to.(*net.TCPConn).CloseWrite() // the other direction stays open
+			_ = to.(*net.TCPConn).CloseWrite() // closeConns closes it in any case
 			return
 		}
 		if err != nil {
