--- a/internal/enginestub/evidence.go
+++ b/internal/enginestub/evidence.go
@@ -81,7 +81,7 @@
 		}
 		activity.add(record)
 	}
-	return activity, errors.Wrap(scanner.Err(), "read activity log")
+	return activity, errors.Wrap(scanner.Err(), "evidence")
 }
 
 // add adds a record to the newest process.
