--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -41,7 +41,7 @@
 	// OutputTokens is the number of output tokens of a response that is not a stream. It is
 	// OutputUnknown if the dialect has a header for it and the header is missing or invalid.
 	OutputTokens int
-	// KeepAlive is how long the server keeps an idle connection open.
+	// KeepAlive is how long the server keeps an idle connection open; 0 if it doesn't say.
 	KeepAlive time.Duration
 }
 
